--- a/src/gateway/fleet_messages.cc
+++ b/src/gateway/fleet_messages.cc
@@ -10,10 +10,10 @@
 
 namespace {
 
-// Begin each message, and tell its form from others.
-constexpr std::string_view kNewsMark = "GN5";
+// First bytes of each message; they identify its type and format.
+constexpr std::string_view kUpdateMark = "GN5";
 constexpr std::string_view kChangesMark = "GT1";
-constexpr std::string_view kQuestionMark = "GQ1";
+constexpr std::string_view kQueryMark = "GQ1";
 
 void Write(WireWriter& writer, const HostEntry& host) {
   WriteText(writer, host.host);
@@ -37,47 +37,47 @@
   ReadList(reader, hosts, [&](HostEntry& host) { Read(reader, host); });
 }
 
-void WriteDetails(WireWriter& writer, const FleetNews& news) {
-  WriteList(writer, news.servers, [&](const ServerUse& use) {
+void WriteDetails(WireWriter& writer, const FleetNews& update) {
+  WriteList(writer, update.servers, [&](const ServerUse& use) {
     writer(use.server, use.running, use.alone, use.prefill, use.decode);
   });
-  WriteHosts(writer, news.dispatchers);
-  WriteHosts(writer, news.neighbours);
+  WriteHosts(writer, update.dispatchers);
+  WriteHosts(writer, update.neighbours);
 }
 
-void ReadDetails(WireReader& reader, FleetNews* news) {
-  ReadList(reader, &news->servers, [&](ServerUse& use) {
+void ReadDetails(WireReader& reader, FleetNews* update) {
+  ReadList(reader, &update->servers, [&](ServerUse& use) {
     reader(use.server, use.running, use.alone, use.prefill, use.decode);
   });
-  ReadHosts(reader, &news->dispatchers);
-  ReadHosts(reader, &news->neighbours);
+  ReadHosts(reader, &update->dispatchers);
+  ReadHosts(reader, &update->neighbours);
 }
 
 NewsScope ReadScope(WireReader& reader) {
   std::uint8_t scope = 0;
   reader(scope);
   if (scope > static_cast<std::uint8_t>(NewsScope::kNone)) {
-    throw std::out_of_range("an unknown scope");
+    throw std::out_of_range("unknown scope");
   }
   return static_cast<NewsScope>(scope);
 }
 
-void ReadNews(WireReader& reader, FleetNews* news) {
-  news->scope = ReadScope(reader);
-  Read(reader, news->sender);
-  reader(news->incarnation, news->sequence, news->period_ms, news->age_ms,
-         news->hosts, news->complete, news->draining);
-  ReadList(reader, &news->workspaces, [&](WorkspaceUse& use) {
+void ReadUpdate(WireReader& reader, FleetNews* update) {
+  update->scope = ReadScope(reader);
+  Read(reader, update->sender);
+  reader(update->incarnation, update->sequence, update->period_ms,
+         update->age_ms, update->hosts, update->complete, update->draining);
+  ReadList(reader, &update->workspaces, [&](WorkspaceUse& use) {
     reader(use.workspace, use.tokens_per_second, use.let_through,
            use.given_back, use.part, use.parts, use.unheard);
   });
-  ReadList(reader, &news->tables, [&](TableNews& table) {
+  ReadList(reader, &update->tables, [&](TableNews& table) {
     reader(table.table, table.known.newest_change, table.known.since,
            table.known.version, table.up, table.returned_ms);
   });
-  Read(reader, news->aggregator);
-  reader(news->settled, news->detailed);
-  if (news->detailed) ReadDetails(reader, news);
+  Read(reader, update->aggregator);
+  reader(update->settled, update->detailed);
+  if (update->detailed) ReadDetails(reader, update);
 }
 
 void ReadChanges(WireReader& reader, TableChanges* changes) {
@@ -89,12 +89,13 @@
   });
 }
 
-void ReadQuestion(WireReader& reader, TableQuestion* question) {
-  ReadText(reader, &question->asker);
-  reader(question->table, question->since);
+void ReadQuery(WireReader& reader, TableQuestion* query) {
+  ReadText(reader, &query->asker);
+  reader(query->table, query->since);
 }
 
-// None when `read` finds the bytes cut or foreign.
+// Decodes the bytes after `mark` with `read`. Returns nullopt if they are
+// truncated or of another type.
 template <typename Message, typename ReadMessage>
 std::optional<Message> Decode(std::string_view mark, std::string_view bytes,
                               ReadMessage read) {
@@ -106,7 +107,7 @@
     WireReader reader(in);
     read(reader, &message);
   } catch (const std::exception&) {
-    return std::nullopt;  // Whoever takes messages in counts these.
+    return std::nullopt;  // The receiver counts malformed messages.
   }
   return message;
 }
@@ -124,34 +125,34 @@
   return hash_a != hash_b ? hash_a < hash_b : a.host < b.host;
 }
 
-std::string Encode(const FleetNews& news) {
+std::string Encode(const FleetNews& update) {
   std::ostringstream out;
-  out << kNewsMark;
+  out << kUpdateMark;
   WireWriter writer(out);
-  writer(static_cast<std::uint8_t>(news.scope));
-  Write(writer, news.sender);
-  writer(news.incarnation, news.sequence, news.period_ms, news.age_ms,
-         news.hosts, news.complete, news.draining);
-  WriteList(writer, news.workspaces, [&](const WorkspaceUse& use) {
+  writer(static_cast<std::uint8_t>(update.scope));
+  Write(writer, update.sender);
+  writer(update.incarnation, update.sequence, update.period_ms, update.age_ms,
+         update.hosts, update.complete, update.draining);
+  WriteList(writer, update.workspaces, [&](const WorkspaceUse& use) {
     writer(use.workspace, use.tokens_per_second, use.let_through,
            use.given_back, use.part, use.parts, use.unheard);
   });
-  WriteList(writer, news.tables, [&](const TableNews& table) {
+  WriteList(writer, update.tables, [&](const TableNews& table) {
     writer(table.table, table.known.newest_change, table.known.since,
            table.known.version, table.up, table.returned_ms);
   });
-  Write(writer, news.aggregator);
-  writer(news.settled, news.detailed);
-  if (news.detailed) WriteDetails(writer, news);
+  Write(writer, update.aggregator);
+  writer(update.settled, update.detailed);
+  if (update.detailed) WriteDetails(writer, update);
   return out.str();
 }
 
 bool IsFleetNews(std::string_view bytes) {
-  return bytes.starts_with(kNewsMark);
+  return bytes.starts_with(kUpdateMark);
 }
 
 std::optional<FleetNews> DecodeFleetNews(std::string_view bytes) {
-  return Decode<FleetNews>(kNewsMark, bytes, ReadNews);
+  return Decode<FleetNews>(kUpdateMark, bytes, ReadUpdate);
 }
 
 std::optional<std::string> Encode(const TableChanges& changes) {
@@ -177,21 +178,21 @@
   return Decode<TableChanges>(kChangesMark, bytes, ReadChanges);
 }
 
-std::string Encode(const TableQuestion& question) {
+std::string Encode(const TableQuestion& query) {
   std::ostringstream out;
-  out << kQuestionMark;
+  out << kQueryMark;
   WireWriter writer(out);
-  WriteText(writer, question.asker);
-  writer(question.table, question.since);
+  WriteText(writer, query.asker);
+  writer(query.table, query.since);
   return out.str();
 }
 
 bool IsTableQuestion(std::string_view bytes) {
-  return bytes.starts_with(kQuestionMark);
+  return bytes.starts_with(kQueryMark);
 }
 
 std::optional<TableQuestion> DecodeTableQuestion(std::string_view bytes) {
-  return Decode<TableQuestion>(kQuestionMark, bytes, ReadQuestion);
+  return Decode<TableQuestion>(kQueryMark, bytes, ReadQuery);
 }
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/fleet_messages.h
+++ b/src/gateway/fleet_messages.h
@@ -1,9 +1,9 @@
-// What entry hosts tell each other, and how it travels.
+// Messages between entry hosts and their encoding.
 //
-// Every host tells the aggregator of its availability zone about itself, the
-// aggregators tell each other about their zones, and each tells the hosts of
-// its zone about all others together. aggregate.h merges, zone_role.h decides
-// who aggregates.
+// Each host sends its state to the aggregator of its availability zone.
+// Aggregators exchange the merged states of their zones, and each sends every
+// host of its zone the merged state of all its peers. aggregate.h merges the
+// states, zone_role.h elects the aggregators.
 
 #ifndef GENTIANLB_GATEWAY_FLEET_MESSAGES_H_
 #define GENTIANLB_GATEWAY_FLEET_MESSAGES_H_
@@ -18,79 +18,90 @@
 
 namespace gentianlb::gateway {
 
-// Stands for the name of a server, a workspace or a table in messages.
+// Identifies a server, a workspace or a table in messages.
 using NameHash = std::uint32_t;
 NameHash HashName(std::string_view name);
 
-// An entry host, as others know it.
+// Address and properties of an entry host.
 struct HostEntry {
   std::string host;
-  std::string address;  // Where it takes messages, IP:PORT.
+  std::string address;  // IP:PORT on which it receives messages.
   std::string zone;
-  float processor = 1;  // Part of one that it may use.
+  float processor = 1;  // Processors that it may use; may be a fraction.
   auto operator<=>(const HostEntry&) const = default;
 };
 
-// Orders the hosts of a zone, the best last; the same on each host. Whoever
-// merges or dispatches for others needs processor time.
+// Orders hosts by their suitability as aggregator or dispatcher, the best one
+// last. The order is the same on every host. Processor time decides first,
+// because both roles work for other hosts.
 bool RanksBelow(const HostEntry& a, const HostEntry& b);
 
+// Load that one or several hosts put on a server.
 struct ServerUse {
   NameHash server = 0;
-  std::uint16_t running = 0;  // Requests there.
-  // Of them, those that the dispatcher of the server's group hasn't granted.
+  std::uint16_t running = 0;  // Requests that run on the server.
+  // Of these, the requests that the dispatcher of the server's group did not
+  // grant.
   std::uint16_t alone = 0;
-  // How many times slower than expected it is, as was learnt from its answers;
-  // 0: it wasn't.
+  // Measured time divided by expected time of each phase; 0: not measured.
   float prefill = 0;
   float decode = 0;
   auto operator<=>(const ServerUse&) const = default;
 };
 
+// Use of a workspace's limit by one or several hosts.
 struct WorkspaceUse {
   NameHash workspace = 0;
-  float tokens_per_second = 0;    // Asked for, served or not.
-  std::uint64_t let_through = 0;  // Tokens, since the sender began to count.
-  std::uint64_t given_back = 0;   // Of them, for requests that were not sent.
-  float part = 0;           // Of the limit, that is kept to; 0: not known.
-  std::uint16_t parts = 0;  // Hosts whose part is known.
-  // Let through by a host since it heard of the others last.
+  float tokens_per_second = 0;    // Demand of the callers, served or not.
+  std::uint64_t let_through = 0;  // Tokens since the sender began to count.
+  std::uint64_t given_back = 0;   // Of these, tokens of requests not sent.
+  float part = 0;           // Share of the limit that is used; 0: unknown.
+  std::uint16_t parts = 0;  // Number of hosts whose share is known.
+  // Tokens that a host admitted since it last received its peers' state.
   float unheard = 0;
   auto operator<=>(const WorkspaceUse&) const = default;
 };
 
+// State of a table's copy on one or several hosts.
 struct TableNews {
   NameHash table = 0;
   TableKnowledge known;
   bool up = false;  // The table service answers.
-  // Since the service answers again after an outage; below 0: there was none.
+  // Time since the service recovered from an outage; below 0: no outage.
   std::int32_t returned_ms = -1;
   auto operator<=>(const TableNews&) const = default;
 };
 
+// The hosts whose state an update contains.
 enum class NewsScope : std::uint8_t {
-  kHost,  // The sender alone; to its aggregator.
-  kZone,  // All hosts of the sender's zone; to the aggregators of others.
-  kAll,   // All hosts but the one that it goes to.
-  kNone,  // Only says who aggregates.
+  kHost,  // The sender; sent to its aggregator.
+  kZone,  // All hosts of the sender's zone; sent to aggregators of other zones.
+  kAll,   // All hosts except the recipient; sent by its aggregator.
+  kNone,  // No host; the message only names an aggregator.
 };
 
+// State of one or several hosts, sent once per period.
 struct FleetNews {
   NewsScope scope = NewsScope::kHost;
   HostEntry sender;
-  std::int64_t incarnation = 0;  // Higher after each start of the counting.
-  std::uint64_t sequence = 0;    // Counts messages.
-  std::uint16_t period_ms = 0;   // Until the sender's next message.
-  std::uint32_t age_ms = 0;      // Since it began to count.
-  std::uint16_t hosts = 1;       // That it speaks for.
-  bool complete = true;          // They are all that should be spoken for.
-  bool draining = false;         // The sender is about to stop.
+  std::int64_t incarnation =
+      0;                        // Increases when the sender's counters restart.
+  std::uint64_t sequence = 0;   // Increases with each message.
+  std::uint16_t period_ms = 0;  // Time until the sender's next message.
+  std::uint32_t age_ms = 0;     // Time since the sender began to count.
+  std::uint16_t hosts = 1;      // Number of hosts that the state covers.
+  bool complete = true;         // No expected host is missing.
+  bool draining = false;        // The sender is about to stop.
   std::vector<WorkspaceUse> workspaces;
   std::vector<TableNews> tables;
-  bool settled = true;   // The sender has merged for long enough.
-  HostEntry aggregator;  // Whom the sender takes for its zone's, or none.
-
-  // Told less often, as the lists are long.
+  // False while the sender has not aggregated long enough to have received the
+  // state of every host.
+  bool settled = true;
+  // Aggregator of the sender's zone, or with kNone of the recipient's zone;
+  // empty if unknown.
+  HostEntry aggregator;
+
+  // Whether the lists below are present. They are long and sent less often.
   bool detailed = false;
   std::vector<ServerUse> servers;
   std::vector<HostEntry> dispatchers;  // Hosts that may dispatch for groups.
@@ -98,48 +109,50 @@
   bool operator==(const FleetNews&) const = default;
 };
 
-// Which of two messages of one sender is the newer. Starts before sequences.
+// Position of a message among those of its sender. The incarnation decides
+// first.
 struct NewsPlace {
   std::int64_t incarnation = 0;
   std::uint64_t sequence = 0;
   auto operator<=>(const NewsPlace&) const = default;
 };
-inline NewsPlace PlaceOf(const FleetNews& news) {
-  return {news.incarnation, news.sequence};
+inline NewsPlace PlaceOf(const FleetNews& update) {
+  return {update.incarnation, update.sequence};
 }
 
-std::string Encode(const FleetNews& news);
+std::string Encode(const FleetNews& update);
 bool IsFleetNews(std::string_view bytes);
-// None when the bytes are no news: cut, or from somebody else.
+// Returns nullopt if the bytes are truncated or not a fleet update.
 std::optional<FleetNews> DecodeFleetNews(std::string_view bytes);
 
-// The longest message with changes of a table; with who sends it, it goes into
-// a datagram.
+// Maximum length of an encoded TableChanges message; with its envelope it fits
+// into one datagram.
 inline constexpr std::size_t kMostChangeBytes = 48 << 10;
 
 // Changes of a table that one host has read from the table service.
 struct TableChanges {
   NameHash table = 0;
-  // All after this version and up to the page's; 0: the whole table.
+  // The page has all changes after this version up to its own; 0: the page is
+  // the whole table.
   std::uint64_t since = 0;
   TablePage page;
   bool operator==(const TableChanges&) const = default;
 };
 
-// None when it is too long for a datagram.
+// Returns nullopt if the message is too long for a datagram.
 std::optional<std::string> Encode(const TableChanges& changes);
 bool IsTableChanges(std::string_view bytes);
 std::optional<TableChanges> DecodeTableChanges(std::string_view bytes);
 
-// Asks a host for what it knows of a table.
+// Asks a peer for the changes of a table that it has.
 struct TableQuestion {
-  std::string asker;  // The host that wants to be answered.
+  std::string asker;  // Host to reply to.
   NameHash table = 0;
-  std::uint64_t since = 0;  // The asker knows all up to here; 0: nothing.
+  std::uint64_t since = 0;  // Version that this host has; 0: none.
   bool operator==(const TableQuestion&) const = default;
 };
 
-std::string Encode(const TableQuestion& question);
+std::string Encode(const TableQuestion& query);
 bool IsTableQuestion(std::string_view bytes);
 std::optional<TableQuestion> DecodeTableQuestion(std::string_view bytes);
 
--- a/src/gateway/fleet_messages_test.cc
+++ b/src/gateway/fleet_messages_test.cc
@@ -6,25 +6,25 @@
 namespace {
 
 FleetNews Sample() {
-  FleetNews news;
-  news.scope = NewsScope::kAll;
-  news.sender = {"edge-1", "10.0.0.1:7600", "zone", 0.25F};
-  news.incarnation = 1'700'000'000'000'000;
-  news.sequence = 9;
-  news.period_ms = 95;
-  news.age_ms = 70'000;
-  news.hosts = 194;
-  news.complete = false;
-  news.draining = true;
-  news.workspaces = {{HashName("w"), 1234.5F, 99, 7, 0.5F, 3, 40.0F}};
-  news.tables = {{HashName("t"), {77, 60, 80}, true, 350}};
-  news.aggregator = {"edge-2", "10.0.0.2:7600", "zone", 0.5F};
-  news.settled = false;
-  news.detailed = true;
-  news.servers = {{HashName("s"), 14, 3, 0.5F, 2.5F}, {HashName("t"), 2}};
-  news.dispatchers = {news.aggregator};
-  news.neighbours = {news.sender, news.aggregator};
-  return news;
+  FleetNews update;
+  update.scope = NewsScope::kAll;
+  update.sender = {"edge-1", "10.0.0.1:7600", "zone", 0.25F};
+  update.incarnation = 1'700'000'000'000'000;
+  update.sequence = 9;
+  update.period_ms = 95;
+  update.age_ms = 70'000;
+  update.hosts = 194;
+  update.complete = false;
+  update.draining = true;
+  update.workspaces = {{HashName("w"), 1234.5F, 99, 7, 0.5F, 3, 40.0F}};
+  update.tables = {{HashName("t"), {77, 60, 80}, true, 350}};
+  update.aggregator = {"edge-2", "10.0.0.2:7600", "zone", 0.5F};
+  update.settled = false;
+  update.detailed = true;
+  update.servers = {{HashName("s"), 14, 3, 0.5F, 2.5F}, {HashName("t"), 2}};
+  update.dispatchers = {update.aggregator};
+  update.neighbours = {update.sender, update.aggregator};
+  return update;
 }
 
 TableChanges SampleChanges() {
@@ -37,20 +37,20 @@
   return changes;
 }
 
-BOOST_AUTO_TEST_CASE(MessagesComeBackAsTheyWere) {
-  const auto news = DecodeFleetNews(Encode(Sample()));
-  BOOST_REQUIRE(news.has_value());
-  BOOST_TEST((*news == Sample()));
+BOOST_AUTO_TEST_CASE(DecodingRestoresEncodedMessages) {
+  const auto update = DecodeFleetNews(Encode(Sample()));
+  BOOST_REQUIRE(update.has_value());
+  BOOST_TEST((*update == Sample()));
   const auto changes = DecodeTableChanges(*Encode(SampleChanges()));
   BOOST_REQUIRE(changes.has_value());
   BOOST_TEST((*changes == SampleChanges()));
-  const TableQuestion question{"edge-1", HashName("servers"), 77};
-  BOOST_TEST((*DecodeTableQuestion(Encode(question)) == question));
+  const TableQuestion query{"edge-1", HashName("servers"), 77};
+  BOOST_TEST((*DecodeTableQuestion(Encode(query)) == query));
 }
 
-// A datagram is cut on the way, or a stranger sends to the port. Nothing of it
-// may be believed, and a length in it must not be taken at its word.
-BOOST_AUTO_TEST_CASE(CutAndForeignMessagesAreNoNews) {
+// Guards against accepting truncated datagrams or data of another program, and
+// against allocating memory for a length field that was not checked.
+BOOST_AUTO_TEST_CASE(TruncatedAndForeignMessagesAreRejected) {
   const std::string whole = Encode(Sample());
   for (std::size_t size = 0; size < whole.size(); ++size) {
     BOOST_TEST(!DecodeFleetNews(whole.substr(0, size)).has_value());
@@ -63,16 +63,16 @@
   for (std::size_t size = 0; size < changes.size(); size += 97) {
     BOOST_TEST(!DecodeTableChanges(changes.substr(0, size)).has_value());
   }
-  const std::string question = Encode(TableQuestion{"edge-1", 5, 77});
-  for (std::size_t size = 0; size < question.size(); ++size) {
-    BOOST_TEST(!DecodeTableQuestion(question.substr(0, size)).has_value());
+  const std::string query = Encode(TableQuestion{"edge-1", 5, 77});
+  for (std::size_t size = 0; size < query.size(); ++size) {
+    BOOST_TEST(!DecodeTableQuestion(query.substr(0, size)).has_value());
   }
   for (std::size_t i = 20; i < changes.size(); ++i) changes[i] = '\xff';
   BOOST_TEST(!DecodeTableChanges(changes).has_value());
 }
 
-// A configuration may be longer than a datagram holds.
-BOOST_AUTO_TEST_CASE(WhatIsTooLongIsNotHandedOn) {
+// A configuration may be longer than a datagram can hold.
+BOOST_AUTO_TEST_CASE(TooLongChangesAreNotEncoded) {
   TableChanges changes = SampleChanges();
   changes.page.rows[0].value.resize(60'000);
   BOOST_TEST(!Encode(changes).has_value());
--- a/src/gateway/table_copy.cc
+++ b/src/gateway/table_copy.cc
@@ -5,8 +5,8 @@
 namespace gentianlb::gateway {
 namespace {
 
-// Removals that are kept; servers come and go for as long as a host lives.
-constexpr std::size_t kMostRemoved = 256;
+// Bounds the copy: servers come and go as long as a host runs.
+constexpr std::size_t kMaxRemovedRows = 256;
 
 }  // namespace
 
@@ -15,23 +15,23 @@
   rows_.clear();
   removed_ = 0;
   since_ = version;
-  for (const TableRow& row : rows) Keep(row);
+  for (const TableRow& row : rows) Store(row);
 }
 
-void TableCopy::Change(const std::vector<TableRow>& rows,
-                       std::uint64_t version) {
-  for (const TableRow& row : rows) Keep(row);
-  if (removed_ > kMostRemoved) ForgetRemoved(version);
+void TableCopy::Apply(const std::vector<TableRow>& rows,
+                      std::uint64_t version) {
+  for (const TableRow& row : rows) Store(row);
+  if (removed_ > kMaxRemovedRows) DropRemoved(version);
 }
 
-void TableCopy::Keep(const TableRow& row) {
-  TableRow& kept = rows_[row.key];
-  if (kept.removed) --removed_;
-  kept = row;
-  if (kept.removed) ++removed_;
+void TableCopy::Store(const TableRow& row) {
+  TableRow& stored = rows_[row.key];
+  if (stored.removed) --removed_;
+  stored = row;
+  if (stored.removed) ++removed_;
 }
 
-void TableCopy::ForgetRemoved(std::uint64_t version) {
+void TableCopy::DropRemoved(std::uint64_t version) {
   std::erase_if(rows_, [](const auto& item) { return item.second.removed; });
   removed_ = 0;
   since_ = version;
--- a/src/gateway/table_copy.h
+++ b/src/gateway/table_copy.h
@@ -1,4 +1,5 @@
-// What a host has read of a table, to answer others that can't read it.
+// A host's copy of a table, from which it answers peers that can't reach the
+// table service.
 
 #ifndef GENTIANLB_GATEWAY_TABLE_COPY_H_
 #define GENTIANLB_GATEWAY_TABLE_COPY_H_
@@ -13,25 +14,26 @@
 
 namespace gentianlb::gateway {
 
+// Holds the rows of a table and a bounded number of removals.
 class TableCopy {
  public:
-  // The rows are the whole table as of `version`.
+  // Replaces the copy by `rows`, the whole table at `version`.
   void Replace(const std::vector<TableRow>& rows, std::uint64_t version);
-  // Of all changes after the last version, up to this one.
-  void Change(const std::vector<TableRow>& rows, std::uint64_t version);
+  // Applies all changes after the copy's last version up to `version`.
+  void Apply(const std::vector<TableRow>& rows, std::uint64_t version);
 
-  // All changes after this version are in the copy, removals too.
+  // Returns the version after which the copy has all changes, with removals.
   std::uint64_t since() const { return since_; }
-  // What changed after `since`, removals too; 0: all rows that there are.
-  // Otherwise not before the copy's own.
+  // Returns the rows that changed after `since`, with removed ones, or for 0
+  // all present rows. A `since` other than 0 must not be below since().
   std::vector<TableRow> RowsSince(std::uint64_t since) const;
 
  private:
-  void Keep(const TableRow& row);
-  void ForgetRemoved(std::uint64_t version);
+  void Store(const TableRow& row);
+  void DropRemoved(std::uint64_t version);
 
   std::map<std::string, TableRow> rows_;
-  std::size_t removed_ = 0;  // Of the rows.
+  std::size_t removed_ = 0;  // Number of removed rows in rows_.
   std::uint64_t since_ = 0;
 };
 
--- a/src/gateway/table_follower.cc
+++ b/src/gateway/table_follower.cc
@@ -64,16 +64,16 @@
   }
   Answered();
   auto& page = std::get<TablePage>(answer);
-  // Pages are of different moments: what changed in between comes again with
-  // the changes since the first.
+  // The pages have different versions. Reading changes from the version of the
+  // first page returns those between the pages again.
   if (from.empty()) read_from_ = page.version;
   for (TableRow& row : page.rows) rows_.push_back(std::move(row));
   if (page.more && !rows_.empty()) {
-    // The least key after the last one.
+    // The smallest key after the last one.
     return Read(rows_.back().key + '\0');
   }
   if (complete_ && read_from_ < version_) {
-    // Of before what is known here: servers that left would be back.
+    // The read is older than the copy: removed servers would reappear.
     LOG(WARNING) << "event=table-read-old table=" << options_.table
                  << " version=" << version_ << " read=" << read_from_;
     return Again([this] { Read(""); });
@@ -105,8 +105,9 @@
 }
 
 absl::Duration TableFollower::UntilProbe() {
-  // Hosts that lost the service together must not all try at once. Nor may all
-  // let half of a period pass first, which is seconds for many hosts.
+  // Hosts that lost the service together must not all probe at once. The first
+  // probes spread over the whole period, because with many hosts half a period
+  // without any probe would be seconds.
   const double draw = std::exchange(probed_, true)
                           ? absl::Uniform(random_, 0.5, 1.5)
                           : absl::Uniform(random_, 0.0, 1.0);
@@ -169,8 +170,9 @@
 }
 
 void TableFollower::HeardOf(const TableKnowledge& known) {
-  // Nothing changed since what is known here. Others can't say so who know less
-  // of the history: what was removed before they read the table is not told.
+  // Nothing changed after this host's version. Peers can vouch for that only if
+  // they have the history since then: they don't know of removals before they
+  // read the table.
   const bool vouched =
       known.since <= version_ && known.newest_change <= version_;
   if (complete_ && vouched) version_ = std::max(version_, known.version);
@@ -195,7 +197,7 @@
   }
   if (!complete_) return false;
   if (since > version_) {
-    // An earlier change was lost on the way.
+    // An earlier message was lost.
     for (const TableRow& row : page.rows) {
       HeardOf({row.version, /*since=*/since, page.version});
     }
@@ -233,7 +235,7 @@
 
 void TableFollower::Apply(const TablePage& page) {
   version_ = page.version;
-  copy_.Change(page.rows, page.version);
+  copy_.Apply(page.rows, page.version);
   NoteCaughtUp();
   NoteVersions(page.rows);
   if (!page.rows.empty()) on_rows_(page.rows, /*whole=*/false, clock_());
@@ -260,9 +262,9 @@
   Answered();
   const auto& page = std::get<TablePage>(answer);
   const std::uint64_t since = version_;
-  // What was handed on meanwhile is newer.
+  // A newer change may have been propagated meanwhile.
   if (page.version >= version_) Apply(page);
-  // Each row once: the service tells of every change of it.
+  // Sends each row once, though the service returns each change of a row.
   if (on_changes_ && !page.rows.empty()) {
     on_changes_(since, ChangesSince(since));
   }
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_follower.h
@@ -1,25 +1,25 @@
-// Keeps up with one table of the platform's table service: reads it whole once,
-// and then waits for its changes.
+// Subscription to one table of the platform's table service: reads the whole
+// table once and then receives its changes.
 //
-// What goes wrong: the service is away for seconds or minutes, answers slowly,
+// Failures: the service is unavailable for seconds or minutes, answers slowly,
 // or has dropped the history that a host still needs. A host that only waited
-// would act on an old list for ever; hosts that all ask again at once when the
-// service is back would be refused for their rate. So a failed call is made
-// again after a delay that grows and is spread, a lost history means reading
-// the table again, and what is known stays in use meanwhile.
+// would use an old list for ever; hosts that all retried at once when the
+// service returns would be refused for their rate. So failed calls are retried
+// with a growing, randomized delay, a lost history makes the host read the
+// table again, and the present copy stays in use meanwhile.
 //
-// A service that is silent for a while takes a call in and never answers it,
-// while the connection stays well: a call that waits for half a minute then
-// hides every change for as long. One would see hosts on an old configuration,
-// with no line that says so. So a host that has reason to doubt asks with short
-// waits, and a change that another host has heard of is asked for at once.
+// An unresponsive service accepts a call and never answers it, while the
+// connection stays open. A call that waits for half a minute then hides every
+// change for that time: hosts stay on an old configuration, and the log doesn't
+// show it. So a host that has reason for doubt polls with short waits, and
+// requests a change that a peer has at once.
 //
-// Hundreds of hosts that all wait for changes cost as many calls for each. So
-// one host of a zone follows and hands changes on; the others take them, and
-// ask the service only when one was lost on the way.
+// If hundreds of hosts polled for changes, each change would cost as many
+// calls. So one host of a zone polls and propagates changes; the others apply
+// them, and call the service only when a message was lost.
 //
-// The service may turn a host away while it answers others. So what a host
-// lacks it asks of other hosts too.
+// The service may refuse one host while it answers others. So a host queries
+// peers too for data that it lacks.
 
 #ifndef GENTIANLB_GATEWAY_TABLE_FOLLOWER_H_
 #define GENTIANLB_GATEWAY_TABLE_FOLLOWER_H_
@@ -41,25 +41,26 @@
 namespace gentianlb::gateway {
 
 enum class TableFailure {
-  kUnavailable,  // No answer, or one that says so.
-  kHistoryGone,  // The changes since that version are no longer known.
+  kUnavailable,  // No answer, or an error.
+  kHistoryGone,  // The service has dropped the changes since that version.
 };
 
 using TableAnswer = std::variant<TablePage, TableFailure>;
 using TableDone = std::function<void(TableAnswer answer)>;
 
-// The table service; fulfilled by the platform's adapter and by fakes. Each
-// call is answered once, later, and never after Cancel.
+// Interface to the table service, implemented by the platform's adapter and by
+// fakes. Each call invokes its callback once.
 struct TablePort {
-  // Rows from key `from` on, in order.
+  // Reads rows in key order, starting at key `from`.
   std::function<void(const std::string& table, const std::string& from,
                      TableDone done)>
       read;
-  // What changed after `since`; waits up to `wait` until there is something.
+  // Reads the changes after `since`. The service waits up to `wait` for a
+  // change.
   std::function<void(const std::string& table, std::uint64_t since,
                      absl::Duration wait, TableDone done)>
       follow;
-  // Sets one row, whatever stands there. False: it may not have been done.
+  // Sets a row unconditionally. False means that the write may have failed.
   std::function<void(const std::string& table, const std::string& key,
                      const std::string& value, std::function<void(bool)> done)>
       write;
@@ -67,56 +68,62 @@
 
 struct TableFollowerOptions {
   std::string table;
-  // How long one call waits for a change: as long as the service allows, since
-  // each costs it as much as a read, and a dead connection shows by its probes.
+  // How long a call waits for a change: as long as the service allows, since
+  // each call costs it as much as a read. Probes of the connection detect a
+  // dead one.
   absl::Duration wait = absl::Seconds(29);
-  // The same while the service may be silent. With the second that the answer
-  // may take it is noticed after two, within the three that hosts have after an
-  // outage.
+  // The wait while the service may be unresponsive. With the one second that an
+  // answer may take, the outage is detected after two seconds, within the three
+  // that hosts have after an outage.
   absl::Duration short_wait = absl::Seconds(1);
-  // How much later than others this host may hear of a change: their messages
-  // and the service's answers both take some milliseconds.
+  // How much later than its peers this host may receive a change, before it
+  // requests it. Messages and answers of the service take some milliseconds.
   absl::Duration behind = absl::Milliseconds(200);
-  // Changes come in series, as when servers are replaced one after the other.
-  // The next call is made this long after the last one at the earliest, so that
-  // one brings several; short against the two seconds in which a change must
-  // be in force.
+  // Minimum interval between calls. Changes come in series, as when servers are
+  // replaced one after the other, so one call then returns several. Short
+  // against the two seconds in which a change must be in force.
   absl::Duration interval = absl::Milliseconds(300);
-  // The same of a standby.
+  // The same for a standby.
   absl::Duration standby_interval = absl::Seconds(1);
   // Short against the two seconds in which a new version must be in force.
   RetryOptions retry = {.first_delay = absl::Milliseconds(50),
                         .longest_delay = absl::Milliseconds(800)};
 };
 
+// How a host subscribes to a table.
 enum class Following {
-  kAlways,  // A call waits for changes all the time.
-  // The same, but others are likely to hand changes on: no hurry between calls.
+  kAlways,  // A call to the service always waits for changes.
+  // The same with a longer interval between calls, as peers normally propagate
+  // the changes.
   kStandby,
-  kWhenTold,  // Others hand changes on; asked for is what they couldn't.
-  // No host that is heard reaches the service. Each tries now and then whether
-  // it does itself, and follows for the others then.
+  // Peers propagate the changes. The host calls the service only for changes
+  // that did not arrive.
+  kWhenTold,
+  // No live peer reaches the service. Each host probes it at random intervals,
+  // and polls for its peers once it is answered.
   kProbing,
 };
 
 std::string_view NameOf(Following following);
 
+// Keeps a copy of one table and reports its changes to the owner.
 class TableFollower {
  public:
-  // `whole`: the rows are the table, and what is missing is not in it.
+  // Called with changed rows, or if `whole` with all rows of the table.
   using OnRows = std::function<void(const std::vector<TableRow>& rows,
                                     bool whole, absl::Time now)>;
-  // The service has stopped answering, or answers again.
+  // Called when the service stops answering or answers again.
   using OnState = std::function<void(bool up, absl::Time now)>;
-  // Changes that were asked for, all after `since`, to be handed on.
+  // Called with all changes after `since` that the service returned, to
+  // propagate them.
   using OnChanges =
       std::function<void(std::uint64_t since, const TablePage& page)>;
 
-  // Others should be asked for what changed after `since`; 0: for all. `tries`
-  // counts from 0 until this host has it.
+  // Called to query peers for the changes after `since`; 0: the whole table.
+  // `tries` counts from 0 until this host has the data.
   using OnLacking = std::function<void(std::uint64_t since, int tries)>;
 
-  // `timers` outlives this object.
+  // `timers` must outlive this object. `seed` randomizes delays.
   TableFollower(TableFollowerOptions options, TablePort port,
                 TimerService* timers, std::function<absl::Time()> clock,
                 std::uint64_t seed, OnRows on_rows, OnState on_state);
@@ -126,41 +133,47 @@
 
   void Start();
 
-  // Whether this host asks with short waits also while all seems well, to
-  // notice a silent service for the others.
+  // Sets whether this host always polls with short waits, to detect an
+  // unresponsive service for its peers.
   void SetWatching(bool watching);
 
+  // Sets the mode and the mean interval between probes of kProbing.
   void SetFollowing(Following following, absl::Duration probe_period);
   void HandOnTo(OnChanges on_changes) { on_changes_ = std::move(on_changes); }
   void AskOthersWith(OnLacking on_lacking) {
     on_lacking_ = std::move(on_lacking);
   }
 
-  // What other hosts know.
+  // Records the history that peers have, and requests changes that this host
+  // still lacks after options.behind.
   void HeardOf(const TableKnowledge& known);
-  // Another host hands on what changed after `since`; 0: all rows. True: this
-  // host knows more than before.
+  // Applies changes after `since` that a peer propagates; 0: all rows. Returns
+  // whether the copy is newer than before.
   bool TakeHandedOn(std::uint64_t since, const TablePage& page);
-  // For another host that knows all up to `since`; 0: nothing.
+  // Returns the version after which to send changes to a peer that has all up
+  // to `since`: `since` itself, or 0 for the whole table if this copy doesn't
+  // have all changes after it.
   std::uint64_t AnswerableSince(std::uint64_t since) const {
     return since < copy_.since() ? 0 : since;
   }
+  // Returns the changes after `since` for a peer; 0: the whole table.
   TablePage ChangesSince(std::uint64_t since) const {
     return {copy_.RowsSince(since), version_};
   }
 
   const std::string& table() const { return options_.table; }
   bool up() const { return up_; }
-  // Whether changes come to this host from the service itself.
+  // Returns whether this host receives changes from the service itself.
   bool follows() const { return !idle_ && up_; }
-  // What others are told.
+  // Returns the history that this host publishes to its peers.
   TableKnowledge Known() const {
     return {newest_change_, copy_.since(), version_};
   }
   std::uint64_t newest_change() const { return newest_change_; }
-  bool complete() const { return complete_; }  // Read whole at least once.
+  // Returns whether the whole table has been received.
+  bool complete() const { return complete_; }
   std::uint64_t version() const { return version_; }
-  // For how long this host has known of a change that it doesn't have.
+  // Returns how long this host has lacked a change that a peer has.
   absl::Duration Behind() const;
 
  private:
@@ -168,32 +181,35 @@
   bool FollowsAlways() const {
     return mode_ == Following::kAlways || mode_ == Following::kStandby;
   }
-  // Once the interval is over.
+  // Polls once the minimum interval since the last call is over.
   void FollowSoon();
+  // Calls the service for changes.
   void Follow();
   bool MayFollow() const;
-  // Follows if this host has to; else waits to be told.
+  // Polls again if the mode or a missing change requires it, else becomes idle.
   void GoOn();
   void ProbeLater();
-  // How long until this host tries whether the service answers it.
+  // Returns the random delay until the next probe of the service.
   absl::Duration UntilProbe();
+  // Applies changes after version_.
   void Apply(const TablePage& page);
-  // `rows` are the table as of `version`.
+  // Replaces the copy by `rows`, the whole table at `version`.
   void TakeWhole(const std::vector<TableRow>& rows, std::uint64_t version);
   bool Lacks() const { return !complete_ || heard_of_ > version_; }
   void AskOthers();
   void NoteBehind();
   void NoteCaughtUp();
-  // Leaves the call that waits, and makes another.
+  // Abandons the waiting call and makes a new one.
   void AskAnew();
   void TakeRead(const std::string& from, TableAnswer answer);
   void TakeChanges(TableAnswer answer);
   void NoteVersions(const std::vector<TableRow>& rows);
   void Failed(TableFailure failure);
   void Answered();
-  // Runs `call` after the delay of the next retry.
+  // Runs `call` after the next retry delay.
   void Again(std::function<void()> call);
-  // `done` is called only while this object lives and no later call was made.
+  // Returns a callback that runs `done` unless this object is destroyed or has
+  // made a later call.
   TableDone Guard(std::function<void(TableAnswer)> done);
 
   const TableFollowerOptions options_;
@@ -207,25 +223,25 @@
   std::mt19937_64 random_;
 
   TableCopy copy_;
-  std::vector<TableRow> rows_;   // Of the pages read so far.
-  std::uint64_t read_from_ = 0;  // The version of the first page.
+  std::vector<TableRow> rows_;   // Rows of the pages read so far.
+  std::uint64_t read_from_ = 0;  // Version of the first page.
   std::uint64_t version_ = 0;
   std::uint64_t newest_change_ = 0;
-  std::uint64_t heard_of_ = 0;  // By other hosts.
+  std::uint64_t heard_of_ = 0;  // Newest change that a peer has.
   bool complete_ = false;
   bool watching_ = false;
   Following mode_ = Following::kAlways;
   absl::Duration probe_period_;
-  bool probed_ = false;  // Since it probes.
+  bool probed_ = false;  // Whether a probe was scheduled in this mode.
   bool probe_answered_ = false;
-  bool idle_ = false;           // No call is made; a probe may be due.
-  bool following_ = false;      // A call waits for changes,
-  absl::Duration follow_wait_;  // for this long.
-  std::uint64_t call_ = 0;      // Counts the calls.
+  bool idle_ = false;           // No call is open; a probe may be scheduled.
+  bool following_ = false;      // A call waits for changes.
+  absl::Duration follow_wait_;  // The wait of the last call for changes.
+  std::uint64_t call_ = 0;      // Number of the last call.
   bool up_ = true;
   int failures_ = 0;
-  int asked_others_ = 0;  // Since this host lacks something.
-  absl::Time followed_ = absl::InfinitePast();  // The last call was made.
+  int asked_others_ = 0;  // Queries of peers since this host lacks data.
+  absl::Time followed_ = absl::InfinitePast();  // Start of the last poll.
   TimerId retry_ = 0;
   TimerId behind_ = 0;
   absl::Time behind_since_ = absl::InfiniteFuture();
--- a/src/gateway/table_follower_test.cc
+++ b/src/gateway/table_follower_test.cc
@@ -6,7 +6,7 @@
 namespace gentianlb::gateway {
 namespace {
 
-// Keeps what was asked until the test answers.
+// Holds the calls of the subscriber until the test answers them.
 struct FakeTable {
   struct Call {
     std::string from;
@@ -76,32 +76,32 @@
 
 using Strings = std::vector<std::string>;
 
-BOOST_FIXTURE_TEST_CASE(ReadsAllPagesAndThenFollows, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ReadsAllPagesAndThenPollsForChanges, Fixture) {
   table.Next().done(Page({"a", "b"}, 10, true));
   FakeTable::Call second = table.Next();
   BOOST_TEST(second.from == std::string("b\0", 2));
   BOOST_TEST(!follower.complete());
   second.done(Page({"c"}, 14));
   BOOST_TEST((got == Strings{"whole a b c"}));
-  // What changed between the pages comes again.
+  // Changes between the pages are read again.
   FakeTable::Call follow = table.Next();
   BOOST_TEST(follow.since == 10u);
   follow.done(Page({"a"}, 15));
   BOOST_TEST((got == Strings{"whole a b c", "change a"}));
-  // Not at once: what changes next is likely to come soon.
+  // The next call waits, as further changes are likely to follow soon.
   BOOST_TEST(table.calls.empty());
   Pass(absl::Milliseconds(300));
   BOOST_TEST(table.Next().since == 15u);
 }
 
-// The service goes away while a change is awaited, for longer than one call
-// lasts. What is known stays in use, the calls come apart, and the return is
-// told once.
-BOOST_FIXTURE_TEST_CASE(AnOutageIsRiddenOut, Fixture) {
+// The service becomes unavailable while a call waits, for longer than one call
+// lasts. The copy must stay in use, retries must be delayed, and the recovery
+// must be reported once.
+BOOST_FIXTURE_TEST_CASE(SurvivesAnOutage, Fixture) {
   table.Next().done(Page({"a"}, 10));
   for (int i = 0; i < 6; ++i) {
     table.Next().done(TableFailure::kUnavailable);
-    BOOST_TEST(table.calls.empty());  // Not at once.
+    BOOST_TEST(table.calls.empty());  // The retry is delayed.
     Pass(absl::Seconds(1));
   }
   BOOST_TEST((got == Strings{"whole a", "down"}));
@@ -111,10 +111,10 @@
   BOOST_TEST((got == Strings{"whole a", "down", "up", "change b"}));
 }
 
-// The history since our version was dropped. Changes in it may be lost, so the
-// table has to be read again; a host that went on would keep a server that has
-// left, or an old configuration, for ever.
-BOOST_FIXTURE_TEST_CASE(ALostHistoryMeansReadingAgain, Fixture) {
+// The service has dropped the history since the host's version. Changes may be
+// lost, so the host must read the table again; otherwise it keeps a removed
+// server or an old configuration for ever.
+BOOST_FIXTURE_TEST_CASE(ReadsTheTableAgainWhenTheHistoryIsGone, Fixture) {
   table.Next().done(Page({"a"}, 10));
   table.Next().done(TableFailure::kHistoryGone);
   Pass(absl::Seconds(1));
@@ -125,7 +125,7 @@
   BOOST_TEST(table.Next().since == 30u);
 }
 
-BOOST_FIXTURE_TEST_CASE(AnAnswerWithoutChangesAsksOn, Fixture) {
+BOOST_FIXTURE_TEST_CASE(PollsAgainAfterAnAnswerWithoutChanges, Fixture) {
   table.Next().done(Page({}, 10));
   table.Next().done(Page({}, 12));
   BOOST_TEST((got == Strings{"whole"}));
@@ -139,11 +139,11 @@
   return page;
 }
 
-// A zone was cut off, so the host lost its call; the next one is taken in by a
-// service that has meanwhile fallen silent, and never answered. Callers of this
-// host would be served by an old configuration for half a minute. The call
-// after a loss therefore waits for a second only.
-BOOST_FIXTURE_TEST_CASE(AfterALossTheServiceIsAskedWithAShortWait, Fixture) {
+// A host loses its call in a network partition, and the service, unresponsive
+// by then, accepts the next call and never answers it. With a long wait, the
+// host would serve callers by an old configuration for half a minute. So the
+// call after a loss waits for one second only.
+BOOST_FIXTURE_TEST_CASE(PollsWithAShortWaitAfterALoss, Fixture) {
   table.Next().done(Page({"a"}, 10));
   BOOST_TEST(table.Next().wait == absl::Seconds(29));
   // The first call is lost with its connection.
@@ -153,7 +153,7 @@
   again.Pass(absl::Seconds(1));
   FakeTable::Call doubtful = again.table.Next();
   BOOST_TEST(doubtful.wait == absl::Seconds(1));
-  // The adapter gives it up, and so on until there is an answer.
+  // The adapter reports a timeout; the waits stay short until an answer comes.
   doubtful.done(TableFailure::kUnavailable);
   again.Pass(absl::Seconds(1));
   FakeTable::Call next = again.table.Next();
@@ -163,16 +163,16 @@
   BOOST_TEST(again.table.Next().wait == absl::Seconds(29));
 }
 
-// The service fell silent while a call waited there, and the connection stayed
-// well: neither an error nor an answer comes. Another host has heard of a
-// change. Without asking anew this one would serve by the old configuration
-// until its call ends, and callers get answers that were withdrawn.
-BOOST_FIXTURE_TEST_CASE(AChangeThatAnotherHostKnowsOfIsAskedForAnew, Fixture) {
+// The service becomes unresponsive while a call waits and the connection stays
+// open, so the call gets neither an error nor an answer. A peer has a change.
+// Without a new call this host would serve callers by a withdrawn configuration
+// until its call ends.
+BOOST_FIXTURE_TEST_CASE(CallsAgainForAChangeThatAPeerHas, Fixture) {
   table.Next().done(Page({"a"}, 10));
   FakeTable::Call silent = table.Next();
   follower.HeardOf({15, 0, 15});
   Pass(absl::Milliseconds(100));
-  BOOST_TEST(table.calls.empty());  // Its own answer may be on the way.
+  BOOST_TEST(table.calls.empty());  // The waiting call may yet be answered.
   Pass(absl::Milliseconds(100));
   FakeTable::Call anew = table.Next();
   BOOST_TEST(anew.since == 10u);
@@ -180,45 +180,45 @@
   anew.done(Change("b", 15));
   BOOST_TEST((got == Strings{"whole a", "change b"}));
   BOOST_TEST(follower.newest_change() == 15u);
-  // The forgotten call's answer changes nothing any more.
+  // The answer of the abandoned call is ignored.
   silent.done(Change("c", 16));
   BOOST_TEST(got.size() == 2u);
   Pass(absl::Milliseconds(300));
   BOOST_TEST(table.Next().wait == absl::Seconds(29));
 }
 
-// What all others know too is no reason for a call: each of hundreds of hosts
-// would make one for each change.
-BOOST_FIXTURE_TEST_CASE(AChangeThatArrivesBySelfCostsNoFurtherCall, Fixture) {
+// Guards against a call for a change that arrives by itself: each of hundreds
+// of hosts would make one for each change.
+BOOST_FIXTURE_TEST_CASE(AChangeThatArrivesInTimeCostsNoCall, Fixture) {
   table.Next().done(Page({"a"}, 10));
   FakeTable::Call follow = table.Next();
   follower.HeardOf({15, 0, 15});
   Pass(absl::Milliseconds(50));
   follow.done(Change("b", 15));
   Pass(absl::Seconds(1));
-  BOOST_TEST(table.calls.size() == 1u);  // The next that waits.
+  BOOST_TEST(table.calls.size() == 1u);  // The next call for changes.
   follower.HeardOf({15, 0, 15});
   follower.HeardOf({9, 0, 9});
   Pass(absl::Seconds(1));
   BOOST_TEST(table.calls.size() == 1u);
 }
 
-// All hosts' calls were swallowed at once, so that none hears of a change from
-// another. One of them watches with short waits; it notices, and the others
-// hear it from that one.
-BOOST_FIXTURE_TEST_CASE(TheHostThatWatchesAsksWithShortWaits, Fixture) {
+// The calls of all hosts stay unanswered at once, so none learns of a change
+// from a peer. The monitor detects it by short waits, and its peers receive the
+// change from its updates.
+BOOST_FIXTURE_TEST_CASE(TheMonitorPollsWithShortWaits, Fixture) {
   table.Next().done(Page({"a"}, 10));
   table.Next();  // Waits for 29 s.
   follower.SetWatching(true);
   FakeTable::Call watching = table.Next();
   BOOST_TEST(watching.wait == absl::Seconds(1));
-  watching.done(TableFailure::kUnavailable);  // Swallowed; given up.
+  watching.done(TableFailure::kUnavailable);  // Not answered in time.
   Pass(absl::Milliseconds(100));
   table.Next().done(Change("b", 20));
   BOOST_TEST(follower.newest_change() == 20u);
   Pass(absl::Milliseconds(300));
   BOOST_TEST(table.Next().wait == absl::Seconds(1));
-  // The call that another host takes over from is not made again.
+  // When another host becomes the monitor, the waiting call is kept.
   follower.SetWatching(false);
   BOOST_TEST(table.calls.empty());
 }
@@ -238,22 +238,23 @@
   }
 };
 
-// Hundreds of hosts learn of each change from the one of their zone that
-// follows, at no call of their own.
-BOOST_FIXTURE_TEST_CASE(WhatIsHandedOnNeedsNoCall, ToldFixture) {
+// Hundreds of hosts receive each change from their zone's aggregator, without a
+// call of their own.
+BOOST_FIXTURE_TEST_CASE(APropagatedChangeNeedsNoCall, ToldFixture) {
   follower.HeardOf({12, 0, 12});
   follower.TakeHandedOn(10, Changed("b", 12));
   Pass(absl::Minutes(1));
   BOOST_TEST(table.calls.empty());
   BOOST_TEST((got == Strings{"change b"}));
-  // Twice on the way, or from two that follow: nothing more comes of it.
+  // A duplicate, or the same change of a second sender, is ignored.
   follower.TakeHandedOn(10, Changed("b", 12));
   BOOST_TEST((got == Strings{"change b"}));
 }
 
-// What was handed on is lost on the way, while the news of it arrives. The host
-// asks for it; callers would be served by an old configuration otherwise.
-BOOST_FIXTURE_TEST_CASE(WhatWasLostOnTheWayIsAskedFor, ToldFixture) {
+// The message with a change is lost, while an update that names the change
+// arrives. The host must request it from the service, or it serves callers by
+// an old configuration.
+BOOST_FIXTURE_TEST_CASE(ALostChangeIsRequested, ToldFixture) {
   follower.HeardOf({12, 0, 12});
   BOOST_TEST(table.calls.empty());
   Pass(absl::Milliseconds(201));
@@ -263,15 +264,15 @@
   BOOST_TEST((got == Strings{"change b"}));
   Pass(absl::Minutes(1));
   BOOST_TEST(table.calls.empty());
-  // The one after it shows that one is missing, without any news.
+  // A later change shows that one is missing, without any update.
   follower.TakeHandedOn(13, Changed("d", 14));
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 12u);
 }
 
-// A host asks for what it missed, and the answer comes later than the next
-// change, which was handed on meanwhile. It must not go back.
-BOOST_FIXTURE_TEST_CASE(AnOlderAnswerUndoesNothing, ToldFixture) {
+// A host requests a change that it missed, and the answer arrives after a newer
+// change that was propagated meanwhile. The host must not return to the older.
+BOOST_FIXTURE_TEST_CASE(AnOlderAnswerIsIgnored, ToldFixture) {
   follower.HeardOf({12, 0, 12});
   Pass(absl::Milliseconds(201));
   FakeTable::Call call = table.Next();
@@ -280,18 +281,18 @@
   BOOST_TEST((got == Strings{"change newer"}));
 }
 
-// Nothing changes for longer than the service keeps its history. A host that
-// then asked from where it read last would have to read all again.
-BOOST_FIXTURE_TEST_CASE(WhoIsToldKeepsItsPlaceInTheHistory, ToldFixture) {
+// Nothing changes for longer than the service keeps its history. A host whose
+// version did not advance would then have to read the whole table again.
+BOOST_FIXTURE_TEST_CASE(UpdatesOfPeersAdvanceTheVersion, ToldFixture) {
   follower.HeardOf({10, 0, 900});
   follower.HeardOf({901, 0, 901});
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 900u);
 }
 
-// Guards against servers that left and stay in use: who read the table after
-// they had gone knows of no change, and yet not that there was none.
-BOOST_FIXTURE_TEST_CASE(WhoReadTheTableLaterCantVouchForRemovals, ToldFixture) {
+// Guards against removed servers that stay in use. A peer that read the table
+// after the removal has seen no change, but can't vouch that there was none.
+BOOST_FIXTURE_TEST_CASE(APeerThatReadLaterCantVouchForRemovals, ToldFixture) {
   follower.HeardOf({/*newest_change=*/8, /*since=*/100, /*version=*/110});
   BOOST_TEST(follower.version() == 10u);
   // The next change shows that something is missing here.
@@ -301,10 +302,9 @@
   BOOST_TEST(table.Next().since == 10u);
 }
 
-// No host that is heard reaches the service any more, but it may serve this
-// one. It tries now and then, and follows for the others once it is answered.
-BOOST_FIXTURE_TEST_CASE(WhereNobodyReachesTheServiceEachTriesRarely,
-                        ToldFixture) {
+// No live peer reaches the service, which may still answer this host. The host
+// must probe it at long intervals, and poll for its peers once it is answered.
+BOOST_FIXTURE_TEST_CASE(ProbesRarelyWhenNoPeerReachesTheService, ToldFixture) {
   follower.SetFollowing(Following::kProbing, absl::Seconds(10));
   int tries = 0;
   for (int i = 0; i < 60; ++i) {
@@ -322,16 +322,16 @@
   BOOST_TEST(table.Next().since == 12u);
 }
 
-// The host that followed for this one falls silent: it follows by itself.
-BOOST_FIXTURE_TEST_CASE(AHostThatIsLeftAloneFollows, ToldFixture) {
+// The host that propagated changes becomes unresponsive, so this one polls.
+BOOST_FIXTURE_TEST_CASE(AnIsolatedHostPolls, ToldFixture) {
   follower.SetFollowing(Following::kAlways, absl::Seconds(10));
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 10u);
 }
 
-// Guards against servers that come back though they left: a read may be of
-// before what this host knows.
-BOOST_FIXTURE_TEST_CASE(AReadOfBeforeWhatIsKnownIsMadeAgain, Fixture) {
+// Guards against removed servers that reappear because a read returns a version
+// older than the copy.
+BOOST_FIXTURE_TEST_CASE(AReadOlderThanTheCopyIsRepeated, Fixture) {
   table.Next().done(Page({"a"}, 10));
   table.Next().done(Changed("b", 14));
   Pass(absl::Milliseconds(300));
@@ -346,9 +346,9 @@
   BOOST_TEST((got == Strings{"whole a b"}));
 }
 
-// Guards against configurations that come in quick succession and are together
-// too long to be handed on.
-BOOST_FIXTURE_TEST_CASE(ARowThatChangedTwiceIsHandedOnOnce, Fixture) {
+// Guards against configurations in quick succession that are together too long
+// for a message.
+BOOST_FIXTURE_TEST_CASE(ARowThatChangedTwiceIsPropagatedOnce, Fixture) {
   TablePage whole = Changed("a", 8);
   whole.version = 10;
   table.Next().done(whole);
--- a/src/gateway/table_page.h
+++ b/src/gateway/table_page.h
@@ -14,21 +14,21 @@
   std::string key;
   std::string value;
   bool removed = false;
-  std::uint64_t version = 0;  // Of its last change; 0: not told.
+  std::uint64_t version = 0;  // Version of the last change; 0: unknown.
   bool operator==(const TableRow&) const = default;
 };
 
-// Some rows, as of one moment.
+// A range of rows, read at one version.
 struct TablePage {
   std::vector<TableRow> rows;
-  std::uint64_t version = 0;  // Of the whole service; changes come after it.
-  bool more = false;          // There are rows after the last one.
+  std::uint64_t version = 0;  // Version of the whole table service at the read.
+  bool more = false;          // The table has rows after the last one.
   bool operator==(const TablePage&) const = default;
 };
 
-// What a host knows of a table's history: all changes after `since` up to
-// `version`, of which `newest_change` is the last. It has read the table as of
-// `since`, and can't tell what was removed before.
+// The part of a table's history that a host has: all changes after `since` up
+// to `version`; the last of them is `newest_change`. The host has read the
+// whole table at version `since` and does not know earlier removals.
 struct TableKnowledge {
   std::uint64_t newest_change = 0;
   std::uint64_t since = 0;
--- a/src/gateway/wire_lists.h
+++ b/src/gateway/wire_lists.h
@@ -1,5 +1,7 @@
-// Lists in messages between hosts. Each is written with a short count of its
-// own: cereal's would let a stranger's message ask for any amount of memory.
+// Encoding of lists and strings in messages between hosts.
+//
+// Each is written with its own bounded count. With cereal's count, a foreign
+// message could make the reader allocate any amount of memory.
 
 #ifndef GENTIANLB_GATEWAY_WIRE_LISTS_H_
 #define GENTIANLB_GATEWAY_WIRE_LISTS_H_
@@ -17,7 +19,8 @@
 using WireWriter = cereal::PortableBinaryOutputArchive;
 using WireReader = cereal::PortableBinaryInputArchive;
 
-// More than any message of a large site holds.
+// Maximum items of a list and bytes of a short string; more than any message
+// of a large site needs. Longer ones are cut when written.
 inline constexpr std::size_t kMostWireItems = 4096;
 
 template <typename List, typename WriteItem>
@@ -47,23 +50,23 @@
 inline void ReadText(WireReader& reader, std::string* text) {
   std::uint16_t count = 0;
   reader(count);
-  if (count > kMostWireItems) throw std::length_error("too long a text");
+  if (count > kMostWireItems) throw std::length_error("text too long");
   text->resize(count);
   reader.loadBinary<1>(text->data(), count);
 }
 
-// A text of any length; the reader says how long it may be.
+// Writes a string of any length; the reader limits the length.
 inline void WriteBytes(WireWriter& writer, const std::string& bytes) {
   writer(static_cast<std::uint32_t>(bytes.size()));
   writer.saveBinary<1>(bytes.data(),
                        static_cast<std::streamsize>(bytes.size()));
 }
 
-inline void ReadBytes(WireReader& reader, std::size_t most,
+inline void ReadBytes(WireReader& reader, std::size_t max_bytes,
                       std::string* bytes) {
   std::uint32_t count = 0;
   reader(count);
-  if (count > most) throw std::length_error("too long a text");
+  if (count > max_bytes) throw std::length_error("text too long");
   bytes->resize(count);
   reader.loadBinary<1>(bytes->data(), count);
 }
