--- a/src/gateway/aggregate.cc
+++ b/src/gateway/aggregate.cc
@@ -7,31 +7,31 @@
 namespace gentianlb::gateway {
 namespace {
 
-// A host that was replaced never comes back; one that is cut off is back within
-// seconds, or a minute at the most.
-constexpr absl::Duration kForgetAfter = absl::Minutes(1);
+// A host that was cut off returns within a minute; a replaced one never does.
+constexpr absl::Duration kUnresponsiveTimeout = absl::Minutes(1);
 
-// Only hosts with nearly as much processor as the best one dispatch: a decision
-// that takes 0.1 ms there takes a small host several times as long, and all
-// callers wait for it.
-constexpr double kQuick = 0.75;
+// Only hosts with nearly as much processor time as the best one dispatch: a
+// decision that takes 0.1 ms there takes a small host several times as long,
+// and all callers wait for it.
+constexpr double kMinProcessorRatio = 0.75;
 
-// How many hosts of a zone may dispatch: some, so that groups are spread and a
-// lost one is replaced at once, and not all, as each is told to everybody.
-constexpr std::size_t kFewestDispatchers = 4;
+// Number of hosts of a zone that may dispatch: several, so that groups are
+// spread and a lost dispatcher is replaced at once, but not all, since the list
+// is sent to every host.
+constexpr std::size_t kMinDispatchers = 4;
 constexpr std::size_t kHostsPerDispatcher = 8;
 
-// A host that is started or comes back says so itself; until then it isn't
-// told.
-constexpr absl::Duration kWanted = absl::Seconds(5);
+// How long after its last update a host is still sent to. A host that starts or
+// returns sends an update itself.
+constexpr absl::Duration kRecipientTimeout = absl::Seconds(5);
 
-absl::Duration PeriodOf(const FleetNews& news) {
-  return absl::Milliseconds(news.period_ms);
+absl::Duration PeriodOf(const FleetNews& update) {
+  return absl::Milliseconds(update.period_ms);
 }
 
-// What two hosts know together. Where changes may lie between what one knows
-// and what the other does, only the later counts.
-TableKnowledge Joined(const TableKnowledge& a, const TableKnowledge& b) {
+// Returns the history that two hosts have together. If changes may lie between
+// the two histories, this is the later one alone.
+TableKnowledge Join(const TableKnowledge& a, const TableKnowledge& b) {
   TableKnowledge joined = a.version < b.version ? b : a;
   joined.newest_change = std::max(a.newest_change, b.newest_change);
   if (a.since <= b.version && b.since <= a.version) {
@@ -46,7 +46,7 @@
   const auto [found, first] = tables.try_emplace(table.table);
   TableNews& sum = found->second;
   sum.table = table.table;
-  sum.known = first ? table.known : Joined(sum.known, table.known);
+  sum.known = first ? table.known : Join(sum.known, table.known);
   if (table.up) ++up[table.table];
   if (table.returned_ms < 0) return;
   const bool newer = sum.returned_ms < 0 || table.returned_ms < sum.returned_ms;
@@ -60,15 +60,15 @@
     sum.running = static_cast<std::uint16_t>(sum.running + use.running);
     sum.alone = static_cast<std::uint16_t>(sum.alone + use.alone);
     if (use.decode <= 0) continue;
-    const auto count = static_cast<float>(++teachers_[use.server]);
+    const auto count = static_cast<float>(++slowdown_sources_[use.server]);
     sum.prefill += (use.prefill - sum.prefill) / count;
     sum.decode += (use.decode - sum.decode) / count;
   }
 }
 
-void Aggregate::Sums::Add(const FleetNews& news, bool current) {
-  hosts += news.hosts;
-  for (const WorkspaceUse& use : news.workspaces) {
+void Aggregate::Sums::Add(const FleetNews& update, bool current) {
+  hosts += update.hosts;
+  for (const WorkspaceUse& use : update.workspaces) {
     WorkspaceUse& sum = workspaces[use.workspace];
     sum.workspace = use.workspace;
     sum.tokens_per_second += use.tokens_per_second;
@@ -76,67 +76,69 @@
     sum.part += use.part;
     sum.parts = static_cast<std::uint16_t>(sum.parts + use.parts);
   }
-  for (const TableNews& table : news.tables) AddTable(table);
-  AddServers(news.servers);
+  for (const TableNews& table : update.tables) AddTable(table);
+  AddServers(update.servers);
 }
 
-bool Aggregate::Heard(const FleetNews& news, absl::Time now) {
-  const bool of_zone = IsOfZone(news);
+bool Aggregate::RecordUpdate(const FleetNews& update, absl::Time now) {
+  const bool of_zone = IsOfZone(update);
   const NewsScope scope = of_zone ? NewsScope::kHost : NewsScope::kZone;
-  if (news.scope != scope) return false;
-  Source& source = sources_[news.sender.host];
-  // Datagrams may overtake each other. Not by as much as this: a host that was
-  // started again after its clock was set back counts from a lower place, and
-  // would never be heard again.
-  const bool late = PlaceOf(news) <= PlaceOf(source.news);
-  if (late && IsBelieved(source, now)) return true;
-  // It may have told another aggregator meanwhile, or used its own part.
-  if (!IsBelieved(source, now)) {
+  if (update.scope != scope) return false;
+  Source& source = sources_[update.sender.host];
+  // Drops an update that a newer one has overtaken. Once the source is no
+  // longer live it is accepted: a host that restarts after its clock was set
+  // back has a lower incarnation, and would be ignored for ever.
+  const bool outdated = PlaceOf(update) <= PlaceOf(source.update);
+  if (outdated && IsLive(source, now)) return true;
+  // Meanwhile the host may have reported to another aggregator, or used its own
+  // share of the limits.
+  if (!IsLive(source, now)) {
     source.counters = UseCounters();
   }
-  for (const UseGrowth& grown : source.counters.Take(
-           news.incarnation, news.workspaces, CountsAtFirst(news, now))) {
-    const auto add = [&grown](Totals* totals) {
-      Total& total = (*totals)[grown.workspace];
-      total.let_through += grown.let_through;
-      total.given_back += grown.given_back;
+  for (const UseGrowth& growth :
+       source.counters.Take(update.incarnation, update.workspaces,
+                            FirstMessageRule(update, now))) {
+    const auto add = [&growth](Totals* totals) {
+      Total& total = (*totals)[growth.workspace];
+      total.let_through += growth.let_through;
+      total.given_back += growth.given_back;
     };
-    add(&source.counted);
+    add(&source.contribution);
     add(&total_);
     if (of_zone) add(&zone_total_);
   }
-  FleetNews kept = news;
-  if (!news.detailed) {
-    kept.servers.swap(source.news.servers);
-    kept.dispatchers.swap(source.news.dispatchers);
+  FleetNews stored = update;
+  if (!update.detailed) {
+    stored.servers.swap(source.update.servers);
+    stored.dispatchers.swap(source.update.dispatchers);
   }
-  source.news = std::move(kept);
-  source.heard = now;
-  NoteHeard(news, now);
+  source.update = std::move(stored);
+  source.received = now;
+  MarkReceived(update, now);
   return true;
 }
 
-FirstMessage Aggregate::CountsAtFirst(const FleetNews& news,
-                                      absl::Time now) const {
-  if (IsOfZone(news)) return FirstMessage::kUnheard;
-  const auto zone = expected_zones_.find(news.sender.zone);
+FirstMessage Aggregate::FirstMessageRule(const FleetNews& update,
+                                         absl::Time now) const {
+  if (IsOfZone(update)) return FirstMessage::kUnheard;
+  const auto zone = expected_zones_.find(update.sender.zone);
   if (zone == expected_zones_.end()) return FirstMessage::kNothing;
-  const bool began_since =
-      now - zone->second.heard >= absl::Milliseconds(news.age_ms);
-  return began_since ? FirstMessage::kAll : FirstMessage::kNothing;
+  const bool started_since =
+      now - zone->second.received >= absl::Milliseconds(update.age_ms);
+  return started_since ? FirstMessage::kAll : FirstMessage::kNothing;
 }
 
-void Aggregate::NoteHeard(const FleetNews& news, absl::Time now) {
-  const bool of_zone = IsOfZone(news);
-  Expected& expected = of_zone ? expected_hosts_[news.sender.host]
-                               : expected_zones_[news.sender.zone];
-  expected.heard = now;
-  expected.hosts = news.hosts;
-  expected.forgotten = false;
+void Aggregate::MarkReceived(const FleetNews& update, absl::Time now) {
+  const bool of_zone = IsOfZone(update);
+  Expected& expected = of_zone ? expected_hosts_[update.sender.host]
+                               : expected_zones_[update.sender.zone];
+  expected.received = now;
+  expected.hosts = update.hosts;
+  expected.dropped = false;
 }
 
-void Aggregate::Expect(const std::vector<std::string>& hosts,
-                       const ZoneHosts& zones, absl::Time now) {
+void Aggregate::AddExpected(const std::vector<std::string>& hosts,
+                            const ZoneHosts& zones, absl::Time now) {
   for (const std::string& host : hosts) {
     expected_hosts_.try_emplace(host, Expected{now, 1});
   }
@@ -145,177 +147,180 @@
   }
 }
 
-void Aggregate::Forget(absl::Time now) {
+void Aggregate::DropUnresponsive(absl::Time now) {
   std::size_t known = 0;
   for (const auto* expected : {&expected_hosts_, &expected_zones_}) {
-    for (const auto& [name, one] : *expected) known += one.hosts;
+    for (const auto& [name, entry] : *expected) known += entry.hosts;
   }
   if (2 * sums_.hosts <= known) return;
   for (auto* expected : {&expected_hosts_, &expected_zones_}) {
-    for (auto& [name, one] : *expected) {
-      one.forgotten = now - one.heard > kForgetAfter;
+    for (auto& [name, entry] : *expected) {
+      entry.dropped = now - entry.received > kUnresponsiveTimeout;
     }
   }
 }
 
-bool Aggregate::Complete(bool zone_only, absl::Time now) const {
+bool Aggregate::IsComplete(bool zone_only, absl::Time now) const {
   const auto current = [&](const Source& source) {
-    return IsCurrent(now - source.heard, PeriodOf(source.news));
+    return IsCurrent(now - source.received, PeriodOf(source.update));
   };
   for (const auto& [name, expected] : expected_hosts_) {
-    if (expected.forgotten) continue;
+    if (expected.dropped) continue;
     const auto found = sources_.find(name);
     if (found == sources_.end() || !current(found->second)) return false;
   }
   if (zone_only) return true;
   for (const auto& expected : expected_zones_) {
     const std::string& zone = expected.first;
-    if (expected.second.forgotten) continue;
-    const bool heard =
+    if (expected.second.dropped) continue;
+    const bool received =
         std::any_of(sources_.begin(), sources_.end(), [&](const auto& item) {
           const Source& source = item.second;
-          return source.news.sender.zone == zone && source.news.complete &&
+          return source.update.sender.zone == zone && source.update.complete &&
                  current(source);
         });
-    if (!heard) return false;
+    if (!received) return false;
   }
   return true;
 }
 
 void Aggregate::ChooseDispatchers() {
-  std::vector<HostEntry> able;
+  std::vector<HostEntry> candidates;
   for (const HostEntry& host : live_) {
-    if (!sources_.at(host.host).news.draining) able.push_back(host);
+    if (!sources_.at(host.host).update.draining) candidates.push_back(host);
   }
-  std::sort(able.begin(), able.end(),
+  std::sort(candidates.begin(), candidates.end(),
             [](const auto& a, const auto& b) { return RanksBelow(b, a); });
-  const std::size_t most =
-      std::max(kFewestDispatchers, live_.size() / kHostsPerDispatcher);
-  if (able.size() > most) able.resize(most);
-  std::erase_if(able, [&](const HostEntry& host) {
-    return host.processor < kQuick * able.front().processor;
+  const std::size_t max_dispatchers =
+      std::max(kMinDispatchers, live_.size() / kHostsPerDispatcher);
+  if (candidates.size() > max_dispatchers) candidates.resize(max_dispatchers);
+  std::erase_if(candidates, [&](const HostEntry& host) {
+    return host.processor < kMinProcessorRatio * candidates.front().processor;
   });
-  zone_dispatchers_ = std::move(able);
+  zone_dispatchers_ = std::move(candidates);
 }
 
 void Aggregate::Merge(absl::Time now) {
-  merged_ = now;
+  merge_time_ = now;
   zone_sums_ = Sums();
   sums_ = Sums();
   live_.clear();
   dispatchers_.clear();
   for (const auto& [name, source] : sources_) {
-    if (!Counts(source, now)) continue;
-    const bool current = IsCurrent(now - source.heard, PeriodOf(source.news));
-    sums_.Add(source.news, current);
-    if (!IsOfZone(source.news)) {
-      dispatchers_.insert(dispatchers_.end(), source.news.dispatchers.begin(),
-                          source.news.dispatchers.end());
+    if (!IsCounted(source, now)) continue;
+    const bool current =
+        IsCurrent(now - source.received, PeriodOf(source.update));
+    sums_.Add(source.update, current);
+    if (!IsOfZone(source.update)) {
+      dispatchers_.insert(dispatchers_.end(), source.update.dispatchers.begin(),
+                          source.update.dispatchers.end());
       continue;
     }
-    zone_sums_.Add(source.news, current);
-    live_.push_back(source.news.sender);
+    zone_sums_.Add(source.update, current);
+    live_.push_back(source.update.sender);
   }
-  Forget(now);
-  zone_sums_.complete = Complete(/*zone_only=*/true, now);
-  sums_.complete = zone_sums_.complete && Complete(/*zone_only=*/false, now);
+  DropUnresponsive(now);
+  zone_sums_.complete = IsComplete(/*zone_only=*/true, now);
+  sums_.complete = zone_sums_.complete && IsComplete(/*zone_only=*/false, now);
   ChooseDispatchers();
   dispatchers_.insert(dispatchers_.end(), zone_dispatchers_.begin(),
                       zone_dispatchers_.end());
 }
 
 FleetNews Aggregate::Compose(const Sums& sums, const Totals& totals) {
-  FleetNews news;
-  news.hosts = static_cast<std::uint16_t>(sums.hosts);
-  news.complete = sums.complete;
+  FleetNews update;
+  update.hosts = static_cast<std::uint16_t>(sums.hosts);
+  update.complete = sums.complete;
   for (const auto& [name, use] : sums.workspaces) {
-    news.workspaces.push_back(use);
+    update.workspaces.push_back(use);
     const auto total = totals.find(name);
     if (total == totals.end()) continue;
-    news.workspaces.back().let_through = total->second.let_through;
-    news.workspaces.back().given_back = total->second.given_back;
+    update.workspaces.back().let_through = total->second.let_through;
+    update.workspaces.back().given_back = total->second.given_back;
   }
   for (const auto& [name, table] : sums.tables) {
-    news.tables.push_back(table);
+    update.tables.push_back(table);
     const auto up = sums.up.find(name);
-    news.tables.back().up = up != sums.up.end() && up->second > 0;
+    update.tables.back().up = up != sums.up.end() && up->second > 0;
   }
-  for (const auto& [name, use] : sums.servers) news.servers.push_back(use);
-  return news;
+  for (const auto& [name, use] : sums.servers) update.servers.push_back(use);
+  return update;
 }
 
-FleetNews Aggregate::OfZone() const {
-  FleetNews news = Compose(zone_sums_, zone_total_);
-  news.scope = NewsScope::kZone;
-  news.dispatchers = zone_dispatchers_;
-  return news;
+FleetNews Aggregate::ZoneUpdate() const {
+  FleetNews update = Compose(zone_sums_, zone_total_);
+  update.scope = NewsScope::kZone;
+  update.dispatchers = zone_dispatchers_;
+  return update;
 }
 
-FleetNews Aggregate::ForHost(const std::string& host) const {
-  FleetNews news = Compose(sums_, total_);
-  news.scope = NewsScope::kAll;
-  news.dispatchers = dispatchers_;
+FleetNews Aggregate::UpdateForHost(const std::string& host) const {
+  FleetNews update = Compose(sums_, total_);
+  update.scope = NewsScope::kAll;
+  update.dispatchers = dispatchers_;
   const auto found = sources_.find(host);
-  if (found == sources_.end()) return news;
+  if (found == sources_.end()) return update;
   const Source& own = found->second;
-  const absl::Duration period = PeriodOf(own.news);
-  for (WorkspaceUse& use : news.workspaces) {
-    const auto counted = own.counted.find(use.workspace);
-    if (counted == own.counted.end()) continue;
-    use.let_through -= counted->second.let_through;
-    use.given_back -= counted->second.given_back;
+  const absl::Duration period = PeriodOf(own.update);
+  for (WorkspaceUse& use : update.workspaces) {
+    const auto contribution = own.contribution.find(use.workspace);
+    if (contribution == own.contribution.end()) continue;
+    use.let_through -= contribution->second.let_through;
+    use.given_back -= contribution->second.given_back;
   }
-  if (!IsBelieved(own, merged_)) return news;
-  const bool current = IsCurrent(merged_ - own.heard, period);
-  --news.hosts;
-  for (const WorkspaceUse& mine : own.news.workspaces) {
-    for (WorkspaceUse& use : news.workspaces) {
-      if (use.workspace != mine.workspace) continue;
-      use.tokens_per_second -= mine.tokens_per_second;
+  if (!IsLive(own, merge_time_)) return update;
+  const bool current = IsCurrent(merge_time_ - own.received, period);
+  --update.hosts;
+  for (const WorkspaceUse& own_entry : own.update.workspaces) {
+    for (WorkspaceUse& use : update.workspaces) {
+      if (use.workspace != own_entry.workspace) continue;
+      use.tokens_per_second -= own_entry.tokens_per_second;
       if (!current) continue;
-      use.part -= mine.part;
-      use.parts = static_cast<std::uint16_t>(use.parts - mine.parts);
+      use.part -= own_entry.part;
+      use.parts = static_cast<std::uint16_t>(use.parts - own_entry.parts);
     }
   }
-  for (const TableNews& mine : own.news.tables) {
-    for (TableNews& table : news.tables) {
-      if (table.table != mine.table || !mine.up) continue;
+  for (const TableNews& own_entry : own.update.tables) {
+    for (TableNews& table : update.tables) {
+      if (table.table != own_entry.table || !own_entry.up) continue;
       table.up = sums_.up.at(table.table) > 1;
     }
   }
-  for (const ServerUse& mine : own.news.servers) {
-    const auto use = std::find_if(
-        news.servers.begin(), news.servers.end(),
-        [&](const ServerUse& one) { return one.server == mine.server; });
-    use->running = static_cast<std::uint16_t>(use->running - mine.running);
-    use->alone = static_cast<std::uint16_t>(use->alone - mine.alone);
+  for (const ServerUse& own_entry : own.update.servers) {
+    const auto use = std::find_if(update.servers.begin(), update.servers.end(),
+                                  [&](const ServerUse& entry) {
+                                    return entry.server == own_entry.server;
+                                  });
+    use->running = static_cast<std::uint16_t>(use->running - own_entry.running);
+    use->alone = static_cast<std::uint16_t>(use->alone - own_entry.alone);
   }
-  return news;
+  return update;
 }
 
-bool Aggregate::IsWanted(const std::string& host, absl::Time now) const {
+bool Aggregate::ShouldSendTo(const std::string& host, absl::Time now) const {
   const auto found = expected_hosts_.find(host);
-  return found != expected_hosts_.end() && now - found->second.heard <= kWanted;
+  return found != expected_hosts_.end() &&
+         now - found->second.received <= kRecipientTimeout;
 }
 
-bool Aggregate::IsBelieved(const Source& source, absl::Time now) {
-  return now - source.heard <= Believed(PeriodOf(source.news));
+bool Aggregate::IsLive(const Source& source, absl::Time now) {
+  return now - source.received <= Believed(PeriodOf(source.update));
 }
 
-bool Aggregate::Counts(const Source& source, absl::Time now) const {
-  if (!IsBelieved(source, now)) return false;
-  if (IsOfZone(source.news)) return true;
-  const HostEntry& sender = source.news.sender;
-  return AggregatorsOf(sender.zone, now).front().host == sender.host;
+bool Aggregate::IsCounted(const Source& source, absl::Time now) const {
+  if (!IsLive(source, now)) return false;
+  if (IsOfZone(source.update)) return true;
+  const HostEntry& sender = source.update.sender;
+  return LiveAggregatorsOf(sender.zone, now).front().host == sender.host;
 }
 
-std::vector<HostEntry> Aggregate::AggregatorsOf(const std::string& zone,
-                                                absl::Time now) const {
+std::vector<HostEntry> Aggregate::LiveAggregatorsOf(const std::string& zone,
+                                                    absl::Time now) const {
   std::vector<HostEntry> aggregators;
   for (const auto& [name, source] : sources_) {
-    const bool told = source.news.scope == NewsScope::kZone;
-    if (!told || source.news.sender.zone != zone) continue;
-    if (IsBelieved(source, now)) aggregators.push_back(source.news.sender);
+    const bool is_aggregator = source.update.scope == NewsScope::kZone;
+    if (!is_aggregator || source.update.sender.zone != zone) continue;
+    if (IsLive(source, now)) aggregators.push_back(source.update.sender);
   }
   std::sort(aggregators.begin(), aggregators.end(),
             [](const auto& a, const auto& b) { return RanksBelow(b, a); });
--- a/src/gateway/aggregate.h
+++ b/src/gateway/aggregate.h
@@ -1,13 +1,13 @@
-// What the hosts of a zone and the aggregators of the other zones have told,
-// merged by a zone's aggregator.
+// Merges the states of a zone's hosts and of the other zones, for the zone's
+// aggregator.
 //
-// Load pattern: hundreds of hosts need to know what all others use of limits
-// and servers, and which of them live. Told by each to each, the messages of a
-// host grow with the number of hosts and those of all with its square; sent
-// more rarely, they are too old for limits. Merged, a host gets one message a
-// period whatever the number of hosts.
+// Load pattern: hundreds of hosts need the use of limits and servers by all
+// peers, and the list of live hosts. If every host sent to every other, a
+// host's messages would grow with the number of hosts and the total with its
+// square; sent less often, they would be too old to enforce limits. With
+// merging, a host receives one message per period whatever the number of hosts.
 //
-// Knows no network and no clock.
+// Has no network and no clock of its own.
 
 #ifndef GENTIANLB_GATEWAY_AGGREGATE_H_
 #define GENTIANLB_GATEWAY_AGGREGATE_H_
@@ -23,41 +23,44 @@
 
 namespace gentianlb::gateway {
 
-// Zones, each with the names of its hosts.
+// Names of the hosts of each zone.
 using ZoneHosts = std::map<std::string, std::vector<std::string>>;
 
+// Collects state updates and merges them on demand.
 class Aggregate {
  public:
   explicit Aggregate(std::string zone) : zone_(std::move(zone)) {}
 
-  // Of a host of the zone, the aggregator included, or of another zone's
-  // aggregator. False: it is of no use here.
-  bool Heard(const FleetNews& news, absl::Time now);
+  // Records an update of a host of the zone, the aggregator included, or of
+  // another zone's aggregator. Returns false if the scope doesn't fit the
+  // sender.
+  bool RecordUpdate(const FleetNews& update, absl::Time now);
 
-  // The hosts of the zone and the other zones that should be heard. Who is
-  // silent for a minute is forgotten, but only while more than half of all
-  // hosts are heard: a few that are cut off from the rest must not take the
-  // limits for themselves.
-  void Expect(const std::vector<std::string>& hosts, const ZoneHosts& zones,
-              absl::Time now);
+  // Adds hosts of the zone and other zones that should send updates. One that
+  // is unresponsive for a minute is dropped, but only while more than half of
+  // all hosts are live: a minority that is cut off must not claim the whole
+  // limits.
+  void AddExpected(const std::vector<std::string>& hosts,
+                   const ZoneHosts& zones, absl::Time now);
 
-  // Merges what is known; what follows tells of that moment.
+  // Merges the recorded updates. The functions below that take no time return
+  // the state of the last merge.
   void Merge(absl::Time now);
 
-  // For the other zones' aggregators.
-  FleetNews OfZone() const;
-  // For one host of the zone: all that the others do.
-  FleetNews ForHost(const std::string& host) const;
+  // Returns the zone's state for the aggregators of other zones.
+  FleetNews ZoneUpdate() const;
+  // Returns the state of all peers of one host of the zone.
+  FleetNews UpdateForHost(const std::string& host) const;
 
-  // Whether it is worth telling a host of the zone: it is heard, or may not
-  // have heard yet that this one aggregates.
-  bool IsWanted(const std::string& host, absl::Time now) const;
-  // Hosts of the zone that are heard.
+  // Returns whether to send to a host of the zone: its updates arrive, or it
+  // may not know yet that this host is the aggregator.
+  bool ShouldSendTo(const std::string& host, absl::Time now) const;
+  // Returns the live hosts of the zone.
   const std::vector<HostEntry>& live() const { return live_; }
-  // The aggregators that are heard of a zone, the best first; while one follows
-  // another there may be two.
-  std::vector<HostEntry> AggregatorsOf(const std::string& zone,
-                                       absl::Time now) const;
+  // Returns the live aggregators of a zone, the best first. There may be two
+  // while one takes over from the other.
+  std::vector<HostEntry> LiveAggregatorsOf(const std::string& zone,
+                                           absl::Time now) const;
 
  private:
   struct Total {
@@ -66,40 +69,43 @@
   };
   using Totals = std::map<NameHash, Total>;
   struct Source {
-    FleetNews news;
-    absl::Time heard;
+    FleetNews update;
+    absl::Time received;
     UseCounters counters;
-    Totals counted;  // Of it.
+    Totals contribution;  // This source's part of the totals.
   };
   struct Expected {
-    absl::Time heard;  // Or known, where it wasn't.
+    absl::Time
+        received;  // Time of the last update, or when added if there is none.
     std::size_t hosts = 1;
-    bool forgotten = false;
+    bool dropped = false;
   };
-  // Sums over sources.
+  // Sums over all sources.
   struct Sums {
     std::size_t hosts = 0;
     bool complete = true;
     std::map<NameHash, WorkspaceUse> workspaces;
     std::map<NameHash, ServerUse> servers;
     std::map<NameHash, TableNews> tables;
-    std::map<NameHash, int> up;  // Sources for which a table is up.
-    void Add(const FleetNews& news, bool current);
+    std::map<NameHash, int> up;  // Number of sources that reach a table.
+    void Add(const FleetNews& update, bool current);
     void AddTable(const TableNews& table);
     void AddServers(const std::vector<ServerUse>& uses);
-    std::map<NameHash, int> teachers_;  // Sources that know a server's pace.
+    // Number of sources that measured a server's slowdown.
+    std::map<NameHash, int> slowdown_sources_;
   };
 
-  bool IsOfZone(const FleetNews& news) const {
-    return news.sender.zone == zone_;
+  bool IsOfZone(const FleetNews& update) const {
+    return update.sender.zone == zone_;
   }
-  static bool IsBelieved(const Source& source, absl::Time now);
-  // Whether it is the one that counts, of those of its zone.
-  bool Counts(const Source& source, absl::Time now) const;
-  FirstMessage CountsAtFirst(const FleetNews& news, absl::Time now) const;
-  void NoteHeard(const FleetNews& news, absl::Time now);
-  void Forget(absl::Time now);
-  bool Complete(bool zone_only, absl::Time now) const;
+  static bool IsLive(const Source& source, absl::Time now);
+  // Returns whether the source is live and, of aggregators of another zone, the
+  // best one.
+  bool IsCounted(const Source& source, absl::Time now) const;
+  FirstMessage FirstMessageRule(const FleetNews& update, absl::Time now) const;
+  void MarkReceived(const FleetNews& update, absl::Time now);
+  void DropUnresponsive(absl::Time now);
+  bool IsComplete(bool zone_only, absl::Time now) const;
   void ChooseDispatchers();
   static FleetNews Compose(const Sums& sums, const Totals& totals);
 
@@ -110,13 +116,13 @@
   std::map<std::string, Expected> expected_hosts_;
   std::map<std::string, Expected> expected_zones_;
 
-  // As merged last.
+  // Results of the last merge.
   Sums zone_sums_;
   Sums sums_;
   std::vector<HostEntry> live_;
   std::vector<HostEntry> zone_dispatchers_;
   std::vector<HostEntry> dispatchers_;
-  absl::Time merged_;
+  absl::Time merge_time_;
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/fake_table_test.h
+++ b/src/gateway/fake_table_test.h
@@ -1,4 +1,4 @@
-// A table service in virtual time that fails as a whole, or for some hosts.
+// Simulates, in virtual time, a table service that fails for all or some hosts.
 
 #ifndef GENTIANLB_GATEWAY_FAKE_TABLE_TEST_H_
 #define GENTIANLB_GATEWAY_FAKE_TABLE_TEST_H_
@@ -12,15 +12,15 @@
 
 namespace gentianlb::gateway {
 
-// One table with one row. While it is silent, calls that wait or arrive are
-// swallowed: their connections stay well, and no answer ever comes. It may be
-// silent to some hosts alone, or refuse them.
+// Serves one table with one row. While it is unresponsive, waiting and new
+// calls are never answered, and their connections stay open. It may be
+// unresponsive to some hosts only, or refuse their calls.
 class FakeTableService {
  public:
-  // As the adapter gives up a call about changes, or one that can't be
-  // connected.
-  static constexpr absl::Duration kMargin = absl::Seconds(1);
-  static constexpr absl::Duration kConnect = absl::Milliseconds(500);
+  // Timeouts of the platform's adapter: for the answer after a call's wait, and
+  // for a connection.
+  static constexpr absl::Duration kAnswerMargin = absl::Seconds(1);
+  static constexpr absl::Duration kConnectTimeout = absl::Milliseconds(500);
 
   explicit FakeTableService(const absl::Time* now) : now_(*now) {}
 
@@ -34,49 +34,50 @@
     port.follow = [this, host](const std::string&, std::uint64_t since,
                                absl::Duration wait, TableDone done) {
       ++calls;
-      calls_.push_back({host, since, now_ + wait, now_ + wait + kMargin, silent,
-                        std::move(done)});
-      if (cut == host) calls_.back().given_up = now_ + kConnect;
-      if (cut == host) calls_.back().swallowed = true;
-      if (silent_to_.contains(host)) calls_.back().swallowed = true;
+      calls_.push_back({host, since, now_ + wait, now_ + wait + kAnswerMargin,
+                        unresponsive, std::move(done)});
+      if (cut == host) calls_.back().fails_at = now_ + kConnectTimeout;
+      if (cut == host) calls_.back().unanswered = true;
+      if (unresponsive_to_.contains(host)) calls_.back().unanswered = true;
     };
     return port;
   }
 
   void Change() { ++version_; }
 
-  void SetSilent(bool on) {
-    silent = on;
-    for (Call& call : calls_) call.swallowed |= on;
+  void SetUnresponsive(bool on) {
+    unresponsive = on;
+    for (Call& call : calls_) call.unanswered |= on;
   }
 
-  // The host's connections are cut; an open call ends with an error soon.
+  // Cuts the host's connections. Its open call fails after kConnectTimeout.
   void Cut(std::size_t host) {
     cut = host;
     for (Call& call : calls_) {
       if (call.host != host) continue;
-      call.swallowed = true;
-      call.given_up = now_ + kConnect;
+      call.unanswered = true;
+      call.fails_at = now_ + kConnectTimeout;
     }
   }
 
-  // Takes in the calls of these hosts, those that wait too, and says nothing.
-  void BeSilentTo(std::set<std::size_t> hosts) {
-    silent_to_ = std::move(hosts);
+  // Accepts the calls of these hosts and never answers them, nor those that
+  // already wait.
+  void SetUnresponsiveTo(std::set<std::size_t> hosts) {
+    unresponsive_to_ = std::move(hosts);
     for (Call& call : calls_) {
-      call.swallowed |= silent_to_.contains(call.host);
+      call.unanswered |= unresponsive_to_.contains(call.host);
     }
   }
 
   void Step() {
-    std::vector<Call> open = std::move(calls_);
+    std::vector<Call> pending = std::move(calls_);
     calls_.clear();
-    for (Call& call : open) {
-      const bool turned_away = refused.contains(call.host);
-      const bool news = version_ > call.since || now_ >= call.wait_ends;
-      if (!turned_away && !call.swallowed && news) {
+    for (Call& call : pending) {
+      const bool is_refused = refused.contains(call.host);
+      const bool has_changes = version_ > call.since || now_ >= call.wait_ends;
+      if (!is_refused && !call.unanswered && has_changes) {
         call.done(PageOf(call.since));
-      } else if (turned_away || now_ >= call.given_up) {
+      } else if (is_refused || now_ >= call.fails_at) {
         call.done(TableFailure::kUnavailable);
       } else {
         calls_.push_back(std::move(call));
@@ -86,9 +87,9 @@
 
   std::uint64_t version() const { return version_; }
 
-  bool silent = false;
+  bool unresponsive = false;
   std::size_t cut = static_cast<std::size_t>(-1);
-  std::set<std::size_t> refused;  // Hosts whose calls end at once.
+  std::set<std::size_t> refused;  // Hosts whose calls fail at once.
   int calls = 0;
 
  private:
@@ -96,8 +97,8 @@
     std::size_t host;
     std::uint64_t since;
     absl::Time wait_ends;
-    absl::Time given_up;
-    bool swallowed;
+    absl::Time fails_at;
+    bool unanswered;
     TableDone done;
   };
 
@@ -111,7 +112,7 @@
   const absl::Time& now_;
   std::uint64_t version_ = 10;
   std::vector<Call> calls_;
-  std::set<std::size_t> silent_to_;
+  std::set<std::size_t> unresponsive_to_;
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/fleet.cc
+++ b/src/gateway/fleet.cc
@@ -8,29 +8,31 @@
 namespace gentianlb::gateway {
 namespace {
 
-// Decisions rest on what was heard last, over three messages where zones lie
-// between. An aggregator sends and takes one to and from each host of its zone
-// and each other zone in a period, at most 400 a second each way.
-constexpr absl::Duration kShortestPeriod = absl::Milliseconds(50);
+// State from another zone takes three messages to arrive, so the period must be
+// short. In each period an aggregator exchanges a message with each host of its
+// zone and each other zone: at most 400 per second in each direction.
+constexpr absl::Duration kMinPeriod = absl::Milliseconds(50);
 constexpr absl::Duration kPeriodPerMessage = absl::Microseconds(2500);
 
-// A host that hears no aggregator tells about itself so often.
-constexpr absl::Duration kPeriodAlone = absl::Milliseconds(100);
+// Period of a host without an aggregator.
+constexpr absl::Duration kPeriodWithoutAggregator = absl::Milliseconds(100);
 
-// How often loads of servers and lists of hosts are told: they are the larger
-// part of a message, and what is dispatched alone changes them little.
-constexpr absl::Duration kShortestDetails = absl::Milliseconds(50);
-constexpr absl::Duration kDetailsPerHost = absl::Microseconds(2500);
+// Minimum interval of sending server loads and host lists. They are the larger
+// part of a message, and requests that hosts dispatch without a grant change
+// them little.
+constexpr absl::Duration kMinDetailsInterval = absl::Milliseconds(50);
+constexpr absl::Duration kDetailsIntervalPerHost = absl::Microseconds(2500);
 
-// All of a zone have told about themselves by then.
-constexpr absl::Duration kShortestSettling = absl::Milliseconds(200);
+// After this time an aggregator has received the state of all hosts of its
+// zone.
+constexpr absl::Duration kMinSettlingTime = absl::Milliseconds(200);
 constexpr int kSettlingPeriods = 3;
 
-// Some of the zone's hosts that are told with each list, in turn.
-constexpr std::size_t kNeighboursTold = 8;
+// Hosts of the zone that each detailed message lists, in turn.
+constexpr std::size_t kNeighboursPerMessage = 8;
 
-// Enough that, where each second host lacks it too, some try soon succeeds.
-constexpr int kMoreAsked = 2;
+// With two, a try soon succeeds even if half of the peers lack the data too.
+constexpr int kRandomQueryTargets = 2;
 
 }  // namespace
 
@@ -38,232 +40,239 @@
              absl::Time now)
     : incarnation_(incarnation),
       hooks_(std::move(hooks)),
-      role_(self, now),
+      election_(self, now),
       aggregate_(self.zone),
-      period_(kPeriodAlone) {}
+      period_(kPeriodWithoutAggregator) {}
 
-std::vector<std::string> Fleet::WhomToAsk(int tries, std::uint64_t draw) const {
-  std::vector<std::string> asked;
-  const std::string& aggregator = role_.aggregator();
-  if (!aggregator.empty() && !role_.aggregates()) asked.push_back(aggregator);
-  if (tries == 0 && !asked.empty()) return asked;
-  std::vector<std::string> all = role_.Neighbours();
-  for (const auto& [zone, hosts] : role_.OtherZones()) {
+std::vector<std::string> Fleet::QueryTargets(int tries,
+                                             std::uint64_t seed) const {
+  std::vector<std::string> targets;
+  const std::string& current = election_.aggregator();
+  if (!current.empty() && !election_.aggregates()) targets.push_back(current);
+  if (tries == 0 && !targets.empty()) return targets;
+  std::vector<std::string> all = election_.ZonePeers();
+  for (const auto& [zone, hosts] : election_.OtherZones()) {
     all.insert(all.end(), hosts.begin(), hosts.end());
   }
-  std::mt19937_64 random(draw);
-  std::sample(all.begin(), all.end(), std::back_inserter(asked), kMoreAsked,
-              random);
-  return asked;
+  std::mt19937_64 random(seed);
+  std::sample(all.begin(), all.end(), std::back_inserter(targets),
+              kRandomQueryTargets, random);
+  return targets;
 }
 
-void Fleet::Learn(const HostEntry& host) {
-  if (host.host == role_.self().host || host.host.empty()) return;
-  const HostEntry* known = role_.Find(host.host);
+void Fleet::AddHost(const HostEntry& host) {
+  if (host.host == election_.self().host || host.host.empty()) return;
+  const HostEntry* known = election_.Find(host.host);
   if (known != nullptr && *known == host) return;
-  role_.Learn(host);
+  election_.AddHost(host);
   hooks_.on_host(host);
 }
 
-void Fleet::Sign(FleetNews* news) {
-  if (news->scope != NewsScope::kHost) {
-    news->age_ms =
-        static_cast<std::uint32_t>(absl::ToInt64Milliseconds(ticked_ - began_));
+void Fleet::FillHeader(FleetNews* update) {
+  if (update->scope != NewsScope::kHost) {
+    update->age_ms = static_cast<std::uint32_t>(
+        absl::ToInt64Milliseconds(last_tick_ - aggregating_since_));
   }
-  news->sender = role_.self();
-  news->incarnation =
-      news->scope == NewsScope::kHost ? incarnation_ : aggregate_incarnation_;
-  news->sequence = ++sequence_;
-  news->period_ms =
+  update->sender = election_.self();
+  update->incarnation =
+      update->scope == NewsScope::kHost ? incarnation_ : aggregate_incarnation_;
+  update->sequence = ++sequence_;
+  update->period_ms =
       static_cast<std::uint16_t>(absl::ToInt64Milliseconds(period_));
   if (const HostEntry* aggregator = Aggregator()) {
-    news->aggregator = *aggregator;
+    update->aggregator = *aggregator;
   }
 }
 
 const HostEntry* Fleet::Aggregator() const {
-  return role_.aggregates() ? &role_.self() : role_.Find(role_.aggregator());
+  return election_.aggregates() ? &election_.self()
+                                : election_.Find(election_.aggregator());
 }
 
-FleetNews Fleet::ComposeOwn() {
+FleetNews Fleet::ComposeOwnUpdate() {
   FleetNews own;
   hooks_.compose(&own);
   own.detailed = true;
-  Sign(&own);
+  FillHeader(&own);
   return own;
 }
 
-void Fleet::Take(const FleetNews& news, absl::Time now) {
-  if (news.sender.host == role_.self().host) return;
-  Learn(news.sender);
-  if (!news.aggregator.host.empty()) {
-    Learn(news.aggregator);
-    named_[news.aggregator.zone] = news.aggregator.host;
+void Fleet::OnUpdate(const FleetNews& update, absl::Time now) {
+  if (update.sender.host == election_.self().host) return;
+  AddHost(update.sender);
+  if (!update.aggregator.host.empty()) {
+    AddHost(update.aggregator);
+    named_aggregators_[update.aggregator.zone] = update.aggregator.host;
   }
-  for (const auto* hosts : {&news.dispatchers, &news.neighbours}) {
-    for (const HostEntry& host : *hosts) Learn(host);
+  for (const auto* hosts : {&update.dispatchers, &update.neighbours}) {
+    for (const HostEntry& host : *hosts) AddHost(host);
   }
-  if (news.scope == NewsScope::kNone) return;
-  if (news.scope == NewsScope::kAll) return TakeOthers(news, now);
-  if (!role_.aggregates()) return Name(news.sender.host, Aggregator());
-  if (!aggregate_.Heard(news, now)) return;
-  if (news.scope == NewsScope::kZone) TakeZone(news, now);
+  if (update.scope == NewsScope::kNone) return;
+  if (update.scope == NewsScope::kAll) return OnPeersUpdate(update, now);
+  if (!election_.aggregates()) return Refer(update.sender.host, Aggregator());
+  if (!aggregate_.RecordUpdate(update, now)) return;
+  if (update.scope == NewsScope::kZone) OnZoneUpdate(update, now);
 }
 
-void Fleet::TakeZone(const FleetNews& news, absl::Time now) {
-  hooks_.on_zone(news);
-  // A host that knows none of its zone takes itself for its aggregator.
-  const auto heard = aggregate_.AggregatorsOf(news.sender.zone, now);
-  if (!heard.empty()) Name(news.sender.host, &heard.front());
+void Fleet::OnZoneUpdate(const FleetNews& update, absl::Time now) {
+  hooks_.on_zone(update);
+  // A host that knows no other host of its zone elects itself; name it the
+  // better aggregator.
+  const auto live = aggregate_.LiveAggregatorsOf(update.sender.zone, now);
+  if (!live.empty()) Refer(update.sender.host, &live.front());
 }
 
-void Fleet::Name(const std::string& host, const HostEntry* aggregator) {
+void Fleet::Refer(const std::string& host, const HostEntry* aggregator) {
   if (aggregator == nullptr || aggregator->host == host) return;
-  FleetNews news;
-  news.scope = NewsScope::kNone;
-  Sign(&news);
-  news.aggregator = *aggregator;
-  hooks_.send(host, news);
+  FleetNews update;
+  update.scope = NewsScope::kNone;
+  FillHeader(&update);
+  update.aggregator = *aggregator;
+  hooks_.send(host, update);
 }
 
-void Fleet::TakeOthers(const FleetNews& news, absl::Time now) {
-  if (news.sender.zone != role_.self().zone) return;
-  role_.HeardAggregator(news.sender.host, absl::Milliseconds(news.period_ms),
-                        now);
-  role_.Tick(period_, now);
-  if (role_.aggregator() != news.sender.host) return;
-  // Datagrams may overtake each other; see Aggregate::Heard.
-  const bool same =
-      others_from_ == news.sender.host && now - others_at_ <= Believed(period_);
-  if (same && PlaceOf(news) <= others_place_) return;
-  others_from_ = news.sender.host;
-  others_place_ = PlaceOf(news);
-  others_at_ = now;
-  period_ = absl::Milliseconds(news.period_ms);
-  if (news.settled) hooks_.on_others(news);
+void Fleet::OnPeersUpdate(const FleetNews& update, absl::Time now) {
+  if (update.sender.zone != election_.self().zone) return;
+  election_.RecordAggregator(update.sender.host,
+                             absl::Milliseconds(update.period_ms), now);
+  election_.Tick(period_, now);
+  if (election_.aggregator() != update.sender.host) return;
+  // Drops an update that a newer one has overtaken; see
+  // Aggregate::RecordUpdate.
+  const bool same_sender = peers_sender_ == update.sender.host &&
+                           now - peers_received_ <= Believed(period_);
+  if (same_sender && PlaceOf(update) <= peers_position_) return;
+  peers_sender_ = update.sender.host;
+  peers_position_ = PlaceOf(update);
+  peers_received_ = now;
+  period_ = absl::Milliseconds(update.period_ms);
+  if (update.settled) hooks_.on_others(update);
 }
 
 void Fleet::Tick(absl::Time now) {
   ++ticks_;
-  const bool aggregated = role_.aggregates();
-  const bool paused = now - ticked_ > Believed(period_);
-  ticked_ = now;
-  role_.Tick(period_, now);
-  if (!role_.aggregates()) return Report();
-  if (!aggregated || paused) BeginToAggregate(now);
-  Spread(now);
+  const bool was_aggregator = election_.aggregates();
+  const bool paused = now - last_tick_ > Believed(period_);
+  last_tick_ = now;
+  election_.Tick(period_, now);
+  if (!election_.aggregates()) return SendReport();
+  if (!was_aggregator || paused) StartAggregating(now);
+  Publish(now);
 }
 
-void Fleet::BeginToAggregate(absl::Time now) {
-  aggregate_ = Aggregate(role_.self().zone);
+void Fleet::StartAggregating(absl::Time now) {
+  aggregate_ = Aggregate(election_.self().zone);
   aggregate_incarnation_ = absl::ToUnixMicros(now);
-  began_ = now;
+  aggregating_since_ = now;
 }
 
-// Just after it began, an aggregator has heard few hosts. Taken for the whole,
-// what it tells would move every group to another host and back.
+// A new aggregator has received updates of few hosts. If peers took its state
+// for complete, every group would move to another dispatcher and back.
 bool Fleet::IsSettled(absl::Time now) const {
-  return now - began_ >=
-         std::max(kShortestSettling, kSettlingPeriods * period_);
+  return now - aggregating_since_ >=
+         std::max(kMinSettlingTime, kSettlingPeriods * period_);
 }
 
-void Fleet::Report() {
-  if (role_.aggregator().empty()) period_ = kPeriodAlone;
-  const std::string to = role_.ReportTo();
-  if (!to.empty()) hooks_.send(to, ComposeOwn());
+void Fleet::SendReport() {
+  if (election_.aggregator().empty()) period_ = kPeriodWithoutAggregator;
+  const std::string to = election_.ReportTarget();
+  if (!to.empty()) hooks_.send(to, ComposeOwnUpdate());
 }
 
-void Fleet::Spread(absl::Time now) {
-  const ZoneHosts zones = role_.OtherZones();
-  aggregate_.Heard(ComposeOwn(), now);
-  std::vector<std::string> hosts = role_.Neighbours();
-  hosts.push_back(role_.self().host);
-  aggregate_.Expect(hosts, zones, now);
+void Fleet::Publish(absl::Time now) {
+  const ZoneHosts zones = election_.OtherZones();
+  aggregate_.RecordUpdate(ComposeOwnUpdate(), now);
+  std::vector<std::string> hosts = election_.ZonePeers();
+  hosts.push_back(election_.self().host);
+  aggregate_.AddExpected(hosts, zones, now);
   aggregate_.Merge(now);
-  period_ = std::max(
-      kShortestPeriod,
-      kPeriodPerMessage * (aggregate_.live().size() - 1 + zones.size()));
-  SpreadToZones(now);
-  SpreadToHosts(now);
+  period_ = std::max(kMinPeriod, kPeriodPerMessage * (aggregate_.live().size() -
+                                                      1 + zones.size()));
+  PublishToZones(now);
+  PublishToHosts(now);
 }
 
-std::set<std::string> Fleet::TargetsIn(const std::string& zone,
-                                       const std::vector<std::string>& hosts,
-                                       absl::Time now) {
+std::set<std::string> Fleet::TargetsInZone(
+    const std::string& zone, const std::vector<std::string>& hosts,
+    absl::Time now) {
   std::set<std::string> targets;
-  for (const HostEntry& host : aggregate_.AggregatorsOf(zone, now)) {
+  for (const HostEntry& host : aggregate_.LiveAggregatorsOf(zone, now)) {
     targets.insert(host.host);
   }
-  // One that was named is heard soon, or was named in vain.
-  const auto named = named_.extract(zone);
+  // Sends to a named aggregator once: if it is right, its updates arrive soon.
+  const auto named = named_aggregators_.extract(zone);
   if (!named.empty()) targets.insert(named.mapped());
-  // Whoever is not the aggregator names it.
+  // A host that is not the aggregator replies with the aggregator's name.
   if (targets.empty()) targets.insert(hosts[ticks_ % hosts.size()]);
   return targets;
 }
 
-void Fleet::SpreadToZones(absl::Time now) {
-  FleetNews of_zone = aggregate_.OfZone();
-  of_zone.detailed = true;
-  Sign(&of_zone);
+void Fleet::PublishToZones(absl::Time now) {
+  FleetNews zone_update = aggregate_.ZoneUpdate();
+  zone_update.detailed = true;
+  FillHeader(&zone_update);
   const bool settled = IsSettled(now);
-  for (const auto& [zone, hosts] : role_.OtherZones()) {
-    for (const std::string& target : TargetsIn(zone, hosts, now)) {
-      // Before, it only says that it is there, and is told of other zones.
-      if (settled) hooks_.send(target, of_zone);
-      if (!settled) Name(target, &role_.self());
+  for (const auto& [zone, hosts] : election_.OtherZones()) {
+    for (const std::string& target : TargetsInZone(zone, hosts, now)) {
+      // Until then it only announces itself, so that the other zones send to
+      // it.
+      if (settled) hooks_.send(target, zone_update);
+      if (!settled) Refer(target, &election_.self());
     }
   }
 }
 
-// The hosts of the zone that are heard or may be there; of the others, which
-// were lost or are cut off and may aggregate for themselves, one each time.
-std::vector<std::string> Fleet::Listeners(absl::Time now) const {
-  std::vector<std::string> listeners;
-  std::vector<std::string> lost;
-  for (const std::string& host : role_.Neighbours()) {
-    auto& list = aggregate_.IsWanted(host, now) ? listeners : lost;
+// Returns the hosts of the zone to send to: those that are live or may be, and
+// in turn one of the rest, which are down, or cut off with an aggregator of
+// their own.
+std::vector<std::string> Fleet::Recipients(absl::Time now) const {
+  std::vector<std::string> recipients;
+  std::vector<std::string> stale;
+  for (const std::string& host : election_.ZonePeers()) {
+    auto& list = aggregate_.ShouldSendTo(host, now) ? recipients : stale;
     list.push_back(host);
   }
-  if (!lost.empty()) listeners.push_back(lost[ticks_ % lost.size()]);
-  return listeners;
+  if (!stale.empty()) recipients.push_back(stale[ticks_ % stale.size()]);
+  return recipients;
 }
 
-void Fleet::SpreadToHosts(absl::Time now) {
-  FleetNews own = aggregate_.ForHost(role_.self().host);
-  const absl::Duration between =
-      std::max(kShortestDetails, kDetailsPerHost * (own.hosts + 1));
+void Fleet::PublishToHosts(absl::Time now) {
+  FleetNews own = aggregate_.UpdateForHost(election_.self().host);
+  const absl::Duration interval =
+      std::max(kMinDetailsInterval, kDetailsIntervalPerHost * (own.hosts + 1));
   const bool detailed =
-      now - detailed_ >= between || own.dispatchers != told_dispatchers_;
+      now - last_detailed_ >= interval || own.dispatchers != sent_dispatchers_;
   if (detailed) {
-    detailed_ = now;
-    told_dispatchers_ = own.dispatchers;
+    last_detailed_ = now;
+    sent_dispatchers_ = own.dispatchers;
   }
-  std::vector<HostEntry> told;
+  std::vector<HostEntry> neighbours;
   const std::vector<HostEntry>& live = aggregate_.live();
-  for (std::size_t i = 0; i < std::min(live.size(), kNeighboursTold); ++i) {
-    told.push_back(live[(ticks_ * kNeighboursTold + i) % live.size()]);
+  for (std::size_t i = 0; i < std::min(live.size(), kNeighboursPerMessage);
+       ++i) {
+    neighbours.push_back(
+        live[(ticks_ * kNeighboursPerMessage + i) % live.size()]);
   }
   const bool settled = IsSettled(now);
-  for (const std::string& host : Listeners(now)) {
-    FleetNews others = aggregate_.ForHost(host);
+  for (const std::string& host : Recipients(now)) {
+    FleetNews others = aggregate_.UpdateForHost(host);
     others.detailed = detailed;
-    others.neighbours = told;
+    others.neighbours = neighbours;
     others.settled = settled;
-    Sign(&others);
+    FillHeader(&others);
     hooks_.send(host, others);
   }
   if (!settled) return;
   own.detailed = true;
-  Sign(&own);
+  FillHeader(&own);
   hooks_.on_others(own);
 }
 
 std::vector<std::string> Fleet::Followers() const {
   std::vector<std::string> names;
-  if (!role_.aggregates()) return names;
+  if (!election_.aggregates()) return names;
   for (const HostEntry& host : aggregate_.live()) {
-    if (host.host != role_.self().host) names.push_back(host.host);
+    if (host.host != election_.self().host) names.push_back(host.host);
   }
   return names;
 }
--- a/src/gateway/fleet.h
+++ b/src/gateway/fleet.h
@@ -1,7 +1,9 @@
-// This entry host among the others: tells about itself, learns of them, and
-// aggregates for its zone when that falls to it.
+// Exchange of state between this entry host and its peers.
 //
-// Knows no network and no clock; the hooks carry what has to leave.
+// Publishes this host's state, receives that of the peers, and aggregates for
+// the zone while this host is its aggregator.
+//
+// Has no network and no clock of its own; the hooks send the messages.
 
 #ifndef GENTIANLB_GATEWAY_FLEET_H_
 #define GENTIANLB_GATEWAY_FLEET_H_
@@ -21,82 +23,92 @@
 namespace gentianlb::gateway {
 
 struct FleetHooks {
-  // Fills in what this host has to tell.
+  // Fills in the state of this host.
   std::function<void(FleetNews* own)> compose;
-  // What all other hosts do.
+  // Called with the merged state of all peers.
   std::function<void(const FleetNews& others)> on_others;
-  // What the aggregator of another zone tells of it, where this one aggregates.
+  // Called on an aggregator with the state of another zone.
   std::function<void(const FleetNews& zone)> on_zone;
-  // Another host is known, or has another address.
+  // Called when a peer becomes known or its entry changes.
   std::function<void(const HostEntry& host)> on_host;
-  std::function<void(const std::string& host, const FleetNews& news)> send;
+  // Sends an update to a peer.
+  std::function<void(const std::string& host, const FleetNews& update)> send;
 };
 
+// This host's membership of the fleet, the group of all entry hosts.
 class Fleet {
  public:
-  // `incarnation` is higher after each start.
+  // `incarnation` must increase with each start of the host.
   Fleet(HostEntry self, std::int64_t incarnation, FleetHooks hooks,
         absl::Time now);
 
-  // The table of hosts names it.
-  void Learn(const HostEntry& host);
-  // All that the table names is learnt, or it can't be read.
-  void Begin(absl::Time now) { role_.Begin(now); }
+  // Adds or updates a peer, from the table of hosts or a message.
+  void AddHost(const HostEntry& host);
+  // Starts the election of the aggregator. Called once the table of hosts has
+  // been read or could not be read in time.
+  void StartElection(absl::Time now) { election_.Start(now); }
 
-  void Take(const FleetNews& news, absl::Time now);
+  // Handles an update from a peer.
+  void OnUpdate(const FleetNews& update, absl::Time now);
 
-  // To be called each Period().
+  // Sends this period's messages. To be called once every Period().
   void Tick(absl::Time now);
   absl::Duration Period() const { return period_; }
 
-  // Hosts that are known, this one included.
-  int known() const { return role_.known(); }
-  bool aggregates() const { return role_.aggregates(); }
-  const std::string& aggregator() const { return role_.aggregator(); }
-  // Hosts that may know what this one lacks: its aggregator, and from the
-  // second try on two more, which `draw` picks among all.
-  std::vector<std::string> WhomToAsk(int tries, std::uint64_t draw) const;
-  // The others of the zone that are heard, where this host aggregates.
+  // Returns the number of known hosts, including this one.
+  int known() const { return election_.known(); }
+  bool aggregates() const { return election_.aggregates(); }
+  const std::string& aggregator() const { return election_.aggregator(); }
+  // Returns the peers to query for missing data: the aggregator, and from the
+  // second try on, or without an aggregator, two random peers as well. `draw`
+  // seeds their choice.
+  std::vector<std::string> QueryTargets(int tries, std::uint64_t seed) const;
+  // Returns the live peers of the zone if this host is its aggregator, else
+  // none.
   std::vector<std::string> Followers() const;
 
  private:
-  void Report();
-  void BeginToAggregate(absl::Time now);
+  // Sends this host's state to the aggregator.
+  void SendReport();
+  void StartAggregating(absl::Time now);
   bool IsSettled(absl::Time now) const;
-  void Spread(absl::Time now);
-  void SpreadToZones(absl::Time now);
-  void SpreadToHosts(absl::Time now);
-  std::vector<std::string> Listeners(absl::Time now) const;
-  // Fills in what each message of this host has.
-  void Sign(FleetNews* news);
-  FleetNews ComposeOwn();
-  void TakeOthers(const FleetNews& news, absl::Time now);
-  // Tells `host` who aggregates; `aggregator` may be none.
-  void Name(const std::string& host, const HostEntry* aggregator);
-  void TakeZone(const FleetNews& news, absl::Time now);
-  // Whom to send to in a zone.
-  std::set<std::string> TargetsIn(const std::string& zone,
-                                  const std::vector<std::string>& hosts,
-                                  absl::Time now);
+  // Merges the updates and publishes the result.
+  void Publish(absl::Time now);
+  void PublishToZones(absl::Time now);
+  void PublishToHosts(absl::Time now);
+  std::vector<std::string> Recipients(absl::Time now) const;
+  // Fills in the fields that every message of this host has.
+  void FillHeader(FleetNews* update);
+  FleetNews ComposeOwnUpdate();
+  void OnPeersUpdate(const FleetNews& update, absl::Time now);
+  // Refers `host` to `aggregator` by a message, unless `aggregator` is null
+  // or `host` itself.
+  void Refer(const std::string& host, const HostEntry* aggregator);
+  void OnZoneUpdate(const FleetNews& update, absl::Time now);
+  // Returns the hosts of a zone to which this aggregator sends its updates.
+  std::set<std::string> TargetsInZone(const std::string& zone,
+                                      const std::vector<std::string>& hosts,
+                                      absl::Time now);
   const HostEntry* Aggregator() const;
 
   const std::int64_t incarnation_;
   const FleetHooks hooks_;
-  ZoneRole role_;
+  ZoneRole election_;
   Aggregate aggregate_;
   std::int64_t aggregate_incarnation_ = 0;
   std::uint64_t sequence_ = 0;
   absl::Duration period_;
   std::uint64_t ticks_ = 0;
-  absl::Time ticked_ = absl::InfinitePast();
-  absl::Time began_;                            // To aggregate.
-  absl::Time detailed_ = absl::InfinitePast();  // Details were told.
-  std::vector<HostEntry> told_dispatchers_;
-  NewsPlace others_place_;
-  std::string others_from_;
-  absl::Time others_at_ = absl::InfinitePast();
-  // Whom a host of another zone named as its aggregator.
-  std::map<std::string, std::string> named_;
+  absl::Time last_tick_ = absl::InfinitePast();
+  absl::Time aggregating_since_;  // When this host became the aggregator.
+  absl::Time last_detailed_ = absl::InfinitePast();
+  std::vector<HostEntry> sent_dispatchers_;
+  NewsPlace peers_position_;
+  std::string peers_sender_;
+  absl::Time peers_received_ = absl::InfinitePast();
+  // Aggregators of other zones, as named by a host there, until they are sent
+  // to.
+  std::map<std::string, std::string> named_aggregators_;
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/fleet_site_test.h
+++ b/src/gateway/fleet_site_test.h
@@ -1,5 +1,5 @@
-// Entry hosts that tell each other about themselves, over a network that
-// delays, loses and doubles their datagrams, in virtual time.
+// Simulates, in virtual time, entry hosts that exchange their state over a
+// network that delays, loses and duplicates datagrams.
 
 #ifndef GENTIANLB_GATEWAY_FLEET_SITE_TEST_H_
 #define GENTIANLB_GATEWAY_FLEET_SITE_TEST_H_
@@ -27,11 +27,11 @@
     std::unique_ptr<Fleet> fleet;
     absl::Time due;
     bool up = false;
-    bool frozen = false;  // Takes in nothing, and sends nothing.
-    int side = 0;         // Hosts of different sides don't hear each other.
+    bool frozen = false;  // Neither receives nor sends.
+    int side = 0;  // Hosts of different sides are cut off from each other.
     std::int64_t incarnation = 0;
-    absl::Duration clock_behind;  // Of its clock, against the others'.
-    FleetNews others;  // As it was told last; lists as told last in detail.
+    absl::Duration clock_behind;  // How far its clock is behind `now`.
+    FleetNews others;  // The last update; lists of the last detailed one.
     absl::Time others_at = absl::InfinitePast();
     std::function<void(FleetNews* own)> compose;
     std::function<void(const FleetNews& others)> on_others;
@@ -42,13 +42,13 @@
   };
 
   explicit FleetSite(std::uint64_t seed) : random(seed) {
-    FLAGS_minloglevel = google::GLOG_FATAL;  // The tests read no lines.
+    FLAGS_minloglevel = google::GLOG_FATAL;  // The tests don't check the log.
   }
 
   static std::string Name(int number) { return "h" + std::to_string(number); }
 
-  // `count` hosts in `zones` zones, one in ten of them large, started and known
-  // to each other.
+  // Starts `count` hosts in `zones` zones, about one in ten of them with a
+  // large share of a processor.
   void Add(int count, int zones) {
     for (int i = 0; i < count; ++i) {
       Host& host = hosts[Name(i)];
@@ -60,7 +60,8 @@
     for (auto& [name, host] : hosts) Start(name);
   }
 
-  // Anew, and without memory; it reads the table of hosts.
+  // Starts or restarts a host without state. It reads the table of hosts if
+  // `reads_table`.
   void Start(const std::string& name) {
     Host* host = &hosts.at(name);
     FleetHooks hooks;
@@ -68,12 +69,12 @@
       if (host->compose) host->compose(own);
     };
     hooks.on_others = [this, host](const FleetNews& others) {
-      FleetNews told = others;
-      if (!told.detailed) {
-        told.dispatchers = host->others.dispatchers;
-        told.servers = host->others.servers;
+      FleetNews latest = others;
+      if (!latest.detailed) {
+        latest.dispatchers = host->others.dispatchers;
+        latest.servers = host->others.servers;
       }
-      host->others = std::move(told);
+      host->others = std::move(latest);
       host->others_at = now;
       if (host->on_others) host->on_others(others);
     };
@@ -81,8 +82,8 @@
       if (host->on_zone) host->on_zone(zone);
     };
     hooks.on_host = [](const HostEntry&) {};
-    hooks.send = [this, host](const std::string& to, const FleetNews& news) {
-      Send(host, to, news);
+    hooks.send = [this, host](const std::string& to, const FleetNews& update) {
+      Send(host, to, update);
     };
     host->fleet =
         std::make_unique<Fleet>(host->entry, ++host->incarnation,
@@ -93,9 +94,9 @@
     host->frozen = false;
     host->due = now + absl::Milliseconds(random() % 50);
     for (const auto& [other, entry] : hosts) {
-      if (reads_table) host->fleet->Learn(entry.entry);
+      if (reads_table) host->fleet->AddHost(entry.entry);
     }
-    host->fleet->Begin(now - host->clock_behind);
+    host->fleet->StartElection(now - host->clock_behind);
   }
 
   void Kill(const std::string& name) { hosts.at(name).up = false; }
@@ -122,15 +123,16 @@
     return up;
   }
 
-  // Hosts up that don't hear of just `count` others, all of them.
-  int Unaware(int count) {
-    int unaware = 0;
+  // Returns the number of running hosts without a recent and complete update
+  // that covers exactly `count` peers.
+  int CountUninformed(int count) {
+    int uninformed = 0;
     for (const Host* host : Up()) {
       const bool fresh = now - host->others_at <= absl::Seconds(1);
       const bool all = host->others.hosts == count && host->others.complete;
-      if (!fresh || !all) ++unaware;
+      if (!fresh || !all) ++uninformed;
     }
-    return unaware;
+    return uninformed;
   }
 
   std::map<std::string, int> AggregatorsByZone() {
@@ -144,8 +146,8 @@
   absl::Time now = absl::UnixEpoch() + absl::Hours(1);
   std::mt19937_64 random;
   unsigned lost_per_thousand = 0;
-  unsigned doubled_percent = 0;
-  int slowest_ms = 5;
+  unsigned duplicated_percent = 0;
+  int max_delay_ms = 5;
   bool reads_table = true;
   bool counts_bytes = false;
   std::map<std::string, Host> hosts;
@@ -155,40 +157,41 @@
     absl::Time due;
     std::string to;
     int side;
-    FleetNews news;
+    FleetNews update;
   };
 
-  void Send(Host* from, const std::string& to, const FleetNews& news) {
+  void Send(Host* from, const std::string& to, const FleetNews& update) {
     const auto found = hosts.find(to);
     if (found == hosts.end() || from->frozen) return;
     ++from->sent;
     if (counts_bytes) {
-      const std::size_t bytes = Encode(news).size();
+      const std::size_t bytes = Encode(update).size();
       from->sent_bytes += bytes;
       const bool far = found->second.entry.zone != from->entry.zone;
       if (far) from->sent_bytes_to_zones += bytes;
     }
     if (random() % 1000 < lost_per_thousand) return;
     const absl::Duration delay = absl::Milliseconds(
-        1 + static_cast<int>(random() % static_cast<unsigned>(slowest_ms)));
-    flying_.push_back({now + delay, to, from->side, news});
-    if (random() % 100 < doubled_percent) flying_.push_back(flying_.back());
+        1 + static_cast<int>(random() % static_cast<unsigned>(max_delay_ms)));
+    in_flight_.push_back({now + delay, to, from->side, update});
+    if (random() % 100 < duplicated_percent)
+      in_flight_.push_back(in_flight_.back());
   }
 
   void Deliver() {
-    std::vector<Datagram> flying;
-    flying.swap(flying_);
-    for (Datagram& datagram : flying) {
+    std::vector<Datagram> in_flight;
+    in_flight.swap(in_flight_);
+    for (Datagram& datagram : in_flight) {
       Host& host = hosts.at(datagram.to);
       if (datagram.due > now) {
-        flying_.push_back(std::move(datagram));
+        in_flight_.push_back(std::move(datagram));
       } else if (host.up && !host.frozen && host.side == datagram.side) {
-        host.fleet->Take(datagram.news, now - host.clock_behind);
+        host.fleet->OnUpdate(datagram.update, now - host.clock_behind);
       }
     }
   }
 
-  std::vector<Datagram> flying_;
+  std::vector<Datagram> in_flight_;
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/fleet_test.cc
+++ b/src/gateway/fleet_test.cc
@@ -9,25 +9,25 @@
 namespace gentianlb::gateway {
 namespace {
 
-BOOST_AUTO_TEST_CASE(EachHostHearsOfAllOthers) {
+BOOST_AUTO_TEST_CASE(EachHostReceivesTheStateOfAllPeers) {
   const std::pair<int, int> sizes[] = {{1, 1}, {8, 4}, {40, 1}, {300, 6}};
   for (const auto& [count, zones] : sizes) {
     FleetSite site(1);
     site.Add(count, zones);
     site.Pass(absl::Seconds(4));
-    BOOST_TEST(site.Unaware(count - 1) == 0, count << " hosts");
+    BOOST_TEST(site.CountUninformed(count - 1) == 0, count << " hosts");
     for (const auto& [zone, aggregators] : site.AggregatorsByZone()) {
       BOOST_TEST(aggregators == 1, count << " hosts, " << zone);
     }
   }
 }
 
-// All of ten seconds' datagrams and bytes, a host and second.
+// Mean datagrams and bytes that a host sends per second.
 struct Cost {
   double datagrams = 0;
   double bytes = 0;
   double bytes_to_zones = 0;
-  double most_datagrams = 0;  // Of one host.
+  double max_datagrams = 0;  // Of the busiest host.
 };
 
 Cost CostOf(int count) {
@@ -52,36 +52,37 @@
     cost.datagrams += host.sent * part;
     cost.bytes += static_cast<double>(host.sent_bytes) * part;
     cost.bytes_to_zones += static_cast<double>(host.sent_bytes_to_zones) * part;
-    cost.most_datagrams = std::max(cost.most_datagrams,
-                                   static_cast<double>(host.sent) / kSeconds);
+    cost.max_datagrams =
+        std::max(cost.max_datagrams, static_cast<double>(host.sent) / kSeconds);
   }
   return cost;
 }
 
-// Ten times as many hosts. Were each to tell each, a host would send ten times
-// as much, and callers on small hosts would wait for processors and links.
-BOOST_AUTO_TEST_CASE(WhatAHostSendsDoesNotGrowWithTheHosts) {
+// Guards against traffic that grows with the number of hosts. If every host
+// sent to every other, ten times as many hosts would send ten times as much
+// each, and callers of small hosts would wait for processors and links.
+BOOST_AUTO_TEST_CASE(TrafficOfAHostDoesNotGrowWithTheHosts) {
   const Cost few = CostOf(30);
   const Cost many = CostOf(300);
   BOOST_TEST(many.datagrams <= few.datagrams * 1.1);
   BOOST_TEST(many.bytes <= few.bytes * 1.1);
   BOOST_TEST(many.bytes_to_zones <= few.bytes_to_zones);
-  // The busiest, as its period grows with its zone.
-  BOOST_TEST(many.most_datagrams <= 450);
+  // Bounded on the busiest host because its period grows with its zone.
+  BOOST_TEST(many.max_datagrams <= 450);
 }
 
-// Datagrams are lost, doubled and late. What hosts let through is counted once
-// by each other host all the same; counted twice, workspaces would be refused
-// below their limits, and forgotten, they would pass them.
-BOOST_AUTO_TEST_CASE(CountersComeThroughABadNetwork) {
+// Datagrams are lost, duplicated and late. Each host must still count its
+// peers' admitted tokens exactly once. Counted twice, requests would be refused
+// below the limit; not counted, a workspace would exceed its limit.
+BOOST_AUTO_TEST_CASE(CountersSurviveABadNetwork) {
   FleetSite site(3);
   site.lost_per_thousand = 100;
-  site.doubled_percent = 20;
-  site.slowest_ms = 80;
+  site.duplicated_percent = 20;
+  site.max_delay_ms = 80;
   site.Add(40, 4);
   constexpr NameHash kWorkspace = 7;
   std::map<std::string, std::uint64_t> let_through;
-  std::map<std::string, std::uint64_t> heard;
+  std::map<std::string, std::uint64_t> counted;
   std::map<std::string, UseCounters> counters;
   for (auto& [host_name, host] : site.hosts) {
     const std::string name = host_name;
@@ -89,32 +90,32 @@
       own->workspaces = {{kWorkspace, 1, let_through[name]}};
     };
     host.on_others = [&, name](const FleetNews& others) {
-      for (const UseGrowth& grown :
+      for (const UseGrowth& growth :
            counters[name].Take(others.incarnation, others.workspaces)) {
-        heard[name] += grown.let_through;
+        counted[name] += growth.let_through;
       }
     };
   }
   site.Pass(absl::Seconds(4));
-  heard.clear();
-  std::uint64_t all = 0;
+  counted.clear();
+  std::uint64_t total = 0;
   for (int i = 0; i < 200; ++i) {
     const std::string name =
         FleetSite::Name(static_cast<int>(site.random() % 40));
     let_through[name] += 1000;
-    all += 1000;
+    total += 1000;
     site.Pass(absl::Milliseconds(20));
   }
   site.Pass(absl::Seconds(2));
   for (const auto& [name, host] : site.hosts) {
-    BOOST_TEST(heard[name] == all - let_through[name], name);
+    BOOST_TEST(counted[name] == total - let_through[name], name);
   }
 }
 
-// More than half of all hosts are killed at the same moment, aggregators among
-// them, and start again after some seconds. Those that live must soon know who
-// is left: their callers would wait for dispatchers that are gone.
-BOOST_AUTO_TEST_CASE(TheRestGoesOnWhenMostHostsAreKilled) {
+// More than half of all hosts, aggregators among them, are killed at once and
+// restart after some seconds. The survivors must soon know the remaining hosts,
+// or their callers wait for dispatchers that no longer run.
+BOOST_AUTO_TEST_CASE(SurvivorsRecoverWhenMostHostsAreKilled) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     FleetSite site(seed);
     site.lost_per_thousand = 5;
@@ -138,14 +139,14 @@
     site.Pass(absl::Seconds(3));
     site.lost_per_thousand = 0;
     site.Pass(absl::Seconds(1));
-    BOOST_TEST(site.Unaware(194) == 0, "seed " << seed);
+    BOOST_TEST(site.CountUninformed(194) == 0, "seed " << seed);
   }
 }
 
-// An aggregator freezes for three seconds, and wakes without knowing it. The
-// zone has another within a second, and never hears that all others are gone:
-// each group would move to another host, and back.
-BOOST_AUTO_TEST_CASE(AFrozenAggregatorIsReplacedAndComesBackQuietly) {
+// An aggregator freezes for three seconds and resumes without noticing. It must
+// be replaced within a second, and after it resumes it must not publish that
+// its peers are down: each group would move to another dispatcher and back.
+BOOST_AUTO_TEST_CASE(AFrozenAggregatorIsReplacedAndResumesWithoutDisruption) {
   FleetSite site(4);
   site.Add(60, 3);
   site.Pass(absl::Seconds(4));
@@ -157,9 +158,10 @@
   const std::size_t dispatchers = frozen->others.dispatchers.size();
   frozen->frozen = true;
   site.Pass(absl::Seconds(2));
-  BOOST_TEST(site.Unaware(58) == 60 - 1);  // One is missed by all;
+  // All other hosts miss the frozen one and receive the state of the rest.
+  BOOST_TEST(site.CountUninformed(58) == 60 - 1);
   for (FleetSite::Host* host : site.Up()) {
-    BOOST_TEST(host->others.hosts == 58);  // the others are all heard.
+    BOOST_TEST(host->others.hosts == 58);
     host->on_others = [&](const FleetNews& others) {
       BOOST_TEST(others.hosts >= 58);
       if (!others.detailed) return;
@@ -169,12 +171,12 @@
   site.Pass(absl::Seconds(1));
   frozen->frozen = false;
   site.Pass(absl::Seconds(2));
-  BOOST_TEST(site.Unaware(59) == 0);
+  BOOST_TEST(site.CountUninformed(59) == 0);
 }
 
-// A zone is cut off for ten seconds. Each side goes on with its own hosts and
-// says that some are missing; afterwards all hear of all again.
-BOOST_AUTO_TEST_CASE(BothSidesOfACutGoOnAndMeetAgain) {
+// A zone is cut off for ten seconds. Each side must continue with its own hosts
+// and report that some are missing, and both must merge again afterwards.
+BOOST_AUTO_TEST_CASE(BothSidesOfAPartitionContinueAndMergeAgain) {
   FleetSite site(5);
   site.Add(60, 3);
   site.Pass(absl::Seconds(4));
@@ -189,12 +191,12 @@
   }
   for (auto& [name, host] : site.hosts) host.side = 0;
   site.Pass(absl::Seconds(2));
-  BOOST_TEST(site.Unaware(59) == 0);
+  BOOST_TEST(site.CountUninformed(59) == 0);
 }
 
-// A host starts that only knows one other, which doesn't aggregate and is of
-// another zone. It is led to its aggregator.
-BOOST_AUTO_TEST_CASE(AHostThatKnowsOneOtherFindsAll) {
+// A host starts and knows a single peer, which is in another zone and not its
+// aggregator. The new host must still find the aggregator of its own zone.
+BOOST_AUTO_TEST_CASE(AHostThatKnowsOnePeerFindsAll) {
   FleetSite site(6);
   site.Add(30, 3);
   site.Pass(absl::Seconds(4));
@@ -204,18 +206,17 @@
   site.Start("new");
   for (FleetSite::Host* host : site.Up()) {
     if (host->fleet->aggregates() || host->entry.zone != "z1") continue;
-    newcomer.fleet->Learn(host->entry);
+    newcomer.fleet->AddHost(host->entry);
     break;
   }
   site.Pass(absl::Seconds(4));
-  BOOST_TEST(site.Unaware(30) == 0);
+  BOOST_TEST(site.CountUninformed(30) == 0);
 }
 
-// All hosts of a zone are started again after their clocks were set back. What
-// they tell seems older than what the others heard before; taken for that, the
-// zone would be left out of limits and dispatchers for as long as the others
-// run.
-BOOST_AUTO_TEST_CASE(HostsWithClocksSetBackAreHeardAgain) {
+// All hosts of a zone restart after their clocks were set back, so their
+// updates look older than those before the restart. If peers dropped them, the
+// zone would be missing from limits and dispatchers as long as the peers run.
+BOOST_AUTO_TEST_CASE(HostsWithClocksSetBackAreAcceptedAgain) {
   FleetSite site(8);
   site.Add(30, 3);
   site.Pass(absl::Seconds(4));
@@ -232,20 +233,20 @@
     site.Start(name);
   }
   site.Pass(absl::Seconds(3));
-  BOOST_TEST(site.Unaware(29) == 0);
+  BOOST_TEST(site.CountUninformed(29) == 0);
 }
 
-// A host is replaced for good. The others don't wait for it for ever: limits
-// would be kept in parts, and refuse callers for nothing.
-BOOST_AUTO_TEST_CASE(AHostThatNeverComesBackIsForgotten) {
+// A host is replaced and never returns. If peers expected it for ever, limits
+// would stay split into shares, and callers would be refused without need.
+BOOST_AUTO_TEST_CASE(AHostThatNeverReturnsIsDropped) {
   FleetSite site(7);
   site.Add(12, 3);
   site.Pass(absl::Seconds(4));
   site.Kill("h1");
   site.Pass(absl::Seconds(30));
-  BOOST_TEST(site.Unaware(10) == 11);
+  BOOST_TEST(site.CountUninformed(10) == 11);
   site.Pass(absl::Seconds(40));
-  BOOST_TEST(site.Unaware(10) == 0);
+  BOOST_TEST(site.CountUninformed(10) == 0);
 }
 
 }  // namespace
--- a/src/gateway/host_fleet.cc
+++ b/src/gateway/host_fleet.cc
@@ -1,5 +1,5 @@
-// The host's part about other hosts: what it tells them and hears of them, and
-// who follows the platform's tables.
+// Host: exchange of state with peers, and subscription to the platform's
+// tables.
 
 #include <glog/logging.h>
 
@@ -12,8 +12,8 @@
 namespace gentianlb::gateway {
 namespace {
 
-// How often the number of hosts is told to what depends on it: hosts are
-// started by the hundred.
+// Minimum interval of passing the number of hosts to the forwarder, because
+// hosts are started by the hundred.
 constexpr absl::Duration kHostsPeriod = absl::Seconds(1);
 
 }  // namespace
@@ -26,7 +26,7 @@
   options.address = settings_.peers;
   options.table = platform_.host_table;
   PeersHooks hooks;
-  hooks.compose = [this](FleetNews* news) { ComposeNews(news); };
+  hooks.compose = [this](FleetNews* update) { ComposeNews(update); };
   hooks.on_others = [this](const FleetNews& others) { TakeOthers(others); };
   hooks.on_zone = [this](const FleetNews& zone) {
     sharing_.HeardZone(zone, loop_->now());
@@ -41,14 +41,15 @@
   return std::nullopt;
 }
 
-void Host::ComposeNews(FleetNews* news) {
-  news->draining = draining_;
-  news->servers = forwarder_.Uses();
-  news->workspaces = demand_.Tell(loop_->now());
-  news->tables = sharing_.Tell();
-  // One that follows for nobody may have been cut off alone.
+void Host::ComposeNews(FleetNews* update) {
+  update->draining = draining_;
+  update->servers = forwarder_.Uses();
+  update->workspaces = demand_.Tell(loop_->now());
+  update->tables = sharing_.Tell();
+  // Only an aggregator reports a recovery: another host may have been cut off
+  // alone.
   if (!peers_->fleet().aggregates()) return;
-  for (TableNews& table : news->tables) {
+  for (TableNews& table : update->tables) {
     table.returned_ms = service_return_.ToTell(loop_->now());
   }
 }
@@ -75,8 +76,8 @@
 
 void Host::TakeOther(std::string_view bytes) {
   if (IsTableQuestion(bytes)) {
-    if (const auto question = DecodeTableQuestion(bytes)) {
-      return sharing_.Take(*question);
+    if (const auto query = DecodeTableQuestion(bytes)) {
+      return sharing_.Take(*query);
     }
   } else if (IsTableChanges(bytes)) {
     if (const auto changes = DecodeTableChanges(bytes)) {
@@ -85,7 +86,8 @@
   } else {
     return groups_.Take(bytes);
   }
-  // Cut or foreign. What it held is asked for, as the news tell of it.
+  // Truncated or foreign. The peers' updates name the missing change, and this
+  // host then requests it.
   LOG(WARNING) << "event=changes-unreadable bytes=" << bytes.size();
 }
 
@@ -93,7 +95,7 @@
                        const TableChanges& changes) {
   const auto bytes = Encode(changes);
   if (!bytes) {
-    // The hosts hear that there is a change, and ask the service for it.
+    // The hosts learn of the change from updates and read it from the service.
     LOG(WARNING) << "event=changes-too-long table=" << changes.table
                  << " since=" << changes.since
                  << " version=" << changes.page.version;
@@ -102,13 +104,13 @@
   for (const std::string& host : hosts) peers_->Send(host, *bytes);
 }
 
-void Host::AskOthers(const TableQuestion& question, int tries) {
-  // Before it is among the others, a host knows nobody to ask.
+void Host::AskOthers(const TableQuestion& query, int tries) {
+  // Until Peers has started, no peer is known.
   if (peers_ == nullptr) return;
   const std::uint64_t draw =
-      absl::HashOf(question.asker, question.table, tries, loop_->now());
-  const std::string bytes = Encode(question);
-  for (const std::string& host : peers_->fleet().WhomToAsk(tries, draw)) {
+      absl::HashOf(query.asker, query.table, tries, loop_->now());
+  const std::string bytes = Encode(query);
+  for (const std::string& host : peers_->fleet().QueryTargets(tries, draw)) {
     peers_->Send(host, bytes);
   }
 }
--- a/src/gateway/peers.cc
+++ b/src/gateway/peers.cc
@@ -25,8 +25,8 @@
   return ToText(json);
 }
 
-// None when the row names no host.
-std::optional<HostEntry> HostIn(const TableRow& row) {
+// Returns nullopt if the row doesn't describe a host.
+std::optional<HostEntry> ParseHost(const TableRow& row) {
   const auto json = ParseObject(row.value);
   if (!json || !AllStrings(*json, {kAddressField, kZoneField})) {
     return std::nullopt;
@@ -40,16 +40,17 @@
   return host;
 }
 
-// Others find a host that is not announced only by hearing from it; a second is
-// no loss to them.
+// Peers learn of a host that is not announced only from its messages, so a
+// delay of a second does no harm.
 constexpr RetryOptions kAnnounceRetry = {.first_delay = absl::Milliseconds(100),
                                          .longest_delay = absl::Seconds(1)};
 
-// A host that can't read who else there is goes on with whom it hears.
-constexpr absl::Duration kReadTime = absl::Seconds(3);
+// A host that can't read the table of hosts in this time starts without it, and
+// learns of peers from their messages.
+constexpr absl::Duration kReadTimeout = absl::Seconds(3);
 
-// Before what others of this host send to hosts: where the sender is, so that
-// it can be answered by a host that never heard of it.
+// First bytes of an envelope. It precedes the messages of other components with
+// the sender's address, so that a host that does not know the sender can reply.
 constexpr std::string_view kEnvelopeMark = "GE1";
 
 struct Envelope {
@@ -58,11 +59,11 @@
   std::string content;
 };
 
-// The names of a host and its address.
-constexpr std::size_t kMostEnvelopeBytes = 8 << 10;
-static_assert(kMostChangeBytes + kMostEnvelopeBytes <= loop::kMostMessageBytes);
+// Maximum length of an envelope without its content.
+constexpr std::size_t kMaxEnvelopeBytes = 8 << 10;
+static_assert(kMostChangeBytes + kMaxEnvelopeBytes <= loop::kMostMessageBytes);
 
-std::string Seal(const Envelope& envelope) {
+std::string EncodeEnvelope(const Envelope& envelope) {
   std::ostringstream out;
   out << kEnvelopeMark;
   WireWriter writer(out);
@@ -72,7 +73,7 @@
   return out.str();
 }
 
-std::optional<Envelope> Open(std::string_view bytes) {
+std::optional<Envelope> DecodeEnvelope(std::string_view bytes) {
   if (!bytes.starts_with(kEnvelopeMark)) return std::nullopt;
   bytes.remove_prefix(kEnvelopeMark.size());
   std::istringstream in{std::string(bytes)};
@@ -83,7 +84,7 @@
     ReadText(reader, &envelope.address);
     envelope.content = bytes.substr(static_cast<std::size_t>(in.tellg()));
   } catch (const std::exception&) {
-    return std::nullopt;  // Whoever takes messages in counts these.
+    return std::nullopt;  // The caller counts malformed messages.
   }
   return envelope;
 }
@@ -98,9 +99,9 @@
       hooks_(std::move(hooks)) {}
 
 Peers::~Peers() {
-  loop_->timers().Cancel(tick_);
-  loop_->timers().Cancel(announcing_);
-  loop_->timers().Cancel(begin_);
+  loop_->timers().Cancel(tick_timer_);
+  loop_->timers().Cancel(announce_timer_);
+  loop_->timers().Cancel(start_timer_);
 }
 
 Outcome<std::unique_ptr<Peers>> Peers::Start(PeersOptions options,
@@ -113,7 +114,7 @@
   auto socket = loop::DatagramSocket::Bind(
       loop, self->options_.address.ip,
       static_cast<std::uint16_t>(self->options_.address.port),
-      [self](std::string_view bytes) { self->Take(bytes); });
+      [self](std::string_view bytes) { self->HandleDatagram(bytes); });
   if (!socket.ok()) return socket.error();
   self->socket_ = std::move(socket.value());
   settings::Endpoint address = self->options_.address;
@@ -136,33 +137,34 @@
   hooks.on_others = hooks_.on_others;
   hooks.on_zone = hooks_.on_zone;
   hooks.on_host = [this](const HostEntry& host) {
-    Locate(host.host, host.address);
+    SetAddress(host.host, host.address);
   };
-  hooks.send = [this](const std::string& host, const FleetNews& news) {
+  hooks.send = [this](const std::string& host, const FleetNews& update) {
     const auto found = addresses_.find(host);
     if (found == addresses_.end()) return;
     socket_->Send(found->second.ip,
-                  static_cast<std::uint16_t>(found->second.port), Encode(news));
+                  static_cast<std::uint16_t>(found->second.port),
+                  Encode(update));
   };
   fleet_ = std::make_unique<Fleet>(Self(), absl::ToUnixMicros(absl::Now()),
                                    std::move(hooks), now);
-  tick_ = loop_->timers().At(now + fleet_->Period(),
-                             [this](absl::Time at) { Tick(at); });
-  begin_ = loop_->timers().At(now + kReadTime,
-                              [this](absl::Time at) { fleet_->Begin(at); });
+  tick_timer_ = loop_->timers().At(now + fleet_->Period(),
+                                   [this](absl::Time at) { Tick(at); });
+  start_timer_ = loop_->timers().At(
+      now + kReadTimeout, [this](absl::Time at) { fleet_->StartElection(at); });
 }
 
 void Peers::Announce(int tries) {
   table_.write(options_.table, options_.host.str(), AnnouncementOf(Self()),
                [this, tries, alive = std::weak_ptr<int>(alive_)](bool done) {
                  if (alive.expired()) return;
-                 if (done) return ReadOthers(0, "");
+                 if (done) return ReadHosts(0, "");
                  LOG(WARNING) << "event=announcing-failed tries=" << tries + 1;
-                 Again(tries, [this, tries] { Announce(tries + 1); });
+                 RetryLater(tries, [this, tries] { Announce(tries + 1); });
                });
 }
 
-void Peers::ReadOthers(int tries, const std::string& from) {
+void Peers::ReadHosts(int tries, const std::string& from) {
   table_.read(options_.table, from,
               [this, tries, from,
                alive = std::weak_ptr<int>(alive_)](const TableAnswer& answer) {
@@ -170,43 +172,43 @@
                 const auto* page = std::get_if<TablePage>(&answer);
                 if (page == nullptr) {
                   LOG(WARNING) << "event=hosts-unread tries=" << tries + 1;
-                  return Again(tries, [this, tries, from] {
-                    ReadOthers(tries + 1, from);
+                  return RetryLater(tries, [this, tries, from] {
+                    ReadHosts(tries + 1, from);
                   });
                 }
                 for (const TableRow& row : page->rows) {
-                  if (const auto host = HostIn(row)) fleet_->Learn(*host);
+                  if (const auto host = ParseHost(row)) fleet_->AddHost(*host);
                 }
                 if (page->more && !page->rows.empty()) {
-                  return ReadOthers(0, page->rows.back().key + '\0');
+                  return ReadHosts(0, page->rows.back().key + '\0');
                 }
                 hooks_.on_known(fleet_->known());
                 LOG(INFO) << "event=hosts-read known=" << addresses_.size();
-                fleet_->Begin(loop_->now());
+                fleet_->StartElection(loop_->now());
               });
 }
 
-void Peers::Again(int tries, std::function<void()> call) {
-  // The hash spreads hosts that were started together.
-  const double draw =
+void Peers::RetryLater(int tries, std::function<void()> call) {
+  // The hash spreads the retries of hosts that were started together.
+  const double jitter =
       static_cast<double>(absl::HashOf(options_.host, tries) % 1024) / 1024;
-  announcing_ =
-      loop_->timers().At(loop_->now() + RetryDelay(kAnnounceRetry, tries, draw),
-                         [call = std::move(call)](absl::Time) { call(); });
+  announce_timer_ = loop_->timers().At(
+      loop_->now() + RetryDelay(kAnnounceRetry, tries, jitter),
+      [call = std::move(call)](absl::Time) { call(); });
 }
 
-void Peers::Locate(const std::string& host, const std::string& address) {
+void Peers::SetAddress(const std::string& host, const std::string& address) {
   const auto endpoint = settings::ParseEndpoint(address);
   if (host == options_.host.str() || !endpoint.ok()) return;
   addresses_[host] = endpoint.value();
 }
 
-void Peers::Take(std::string_view bytes) {
+void Peers::HandleDatagram(std::string_view bytes) {
   if (IsFleetNews(bytes)) {
-    const auto news = DecodeFleetNews(bytes);
-    if (news) return fleet_->Take(*news, loop_->now());
-  } else if (const auto envelope = Open(bytes)) {
-    Locate(envelope->host, envelope->address);
+    const auto update = DecodeFleetNews(bytes);
+    if (update) return fleet_->OnUpdate(*update, loop_->now());
+  } else if (const auto envelope = DecodeEnvelope(bytes)) {
+    SetAddress(envelope->host, envelope->address);
     return hooks_.on_other(envelope->content);
   }
   ++malformed_;
@@ -218,14 +220,14 @@
   const settings::Endpoint& address = found->second;
   return socket_->Send(
       address.ip, static_cast<std::uint16_t>(address.port),
-      Seal({options_.host.str(), address_, std::string(bytes)}));
+      EncodeEnvelope({options_.host.str(), address_, std::string(bytes)}));
 }
 
 void Peers::Tick(absl::Time now) {
   fleet_->Tick(now);
   hooks_.on_tick(now);
-  tick_ = loop_->timers().At(now + fleet_->Period(),
-                             [this](absl::Time at) { Tick(at); });
+  tick_timer_ = loop_->timers().At(now + fleet_->Period(),
+                                   [this](absl::Time at) { Tick(at); });
 }
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -1,10 +1,10 @@
-// The network between entry hosts: where they are, and the datagrams.
+// The network between entry hosts: their addresses, and the datagrams.
 //
-// Each host writes its address into a table when it starts, and then reads the
-// table once. Of two hosts the one that wrote later finds the other there; what
-// fleet.h tells spreads the rest, so that nobody follows the table, which would
-// cost a call of every host for every start of another. Hosts that lose the
-// table service still speak.
+// At start each host writes its address into a table and then reads the table
+// once. Of two hosts the one that wrote later finds the other, and the updates
+// of fleet.h propagate the address to the rest. So no host subscribes to the
+// table, which would cost every host a call for each start of another one.
+// Hosts that can't reach the table service still communicate.
 
 #ifndef GENTIANLB_GATEWAY_PEERS_H_
 #define GENTIANLB_GATEWAY_PEERS_H_
@@ -30,27 +30,31 @@
 struct PeersOptions {
   EntryHostId host;
   ZoneId zone;
-  double processor = 1;        // Part of one that this host may use.
+  double processor = 1;        // Processors that this host may use.
   settings::Endpoint address;  // Port 0: the kernel picks one.
-  std::string table;           // Where hosts write their addresses.
+  std::string table;           // The table of the hosts' addresses.
 };
 
 struct PeersHooks {
-  // As FleetHooks.
+  // See FleetHooks.
   std::function<void(FleetNews* own)> compose;
   std::function<void(const FleetNews& others)> on_others;
   std::function<void(const FleetNews& zone)> on_zone;
-  // Messages of another kind, for others of this host.
+  // Called with messages of other components of the peers.
   std::function<void(std::string_view bytes)> on_other;
-  // So many hosts are known, this one included.
+  // Called with the number of known hosts, including this one, once the table
+  // has been read.
   std::function<void(int hosts)> on_known;
   // Called after each period.
   std::function<void(absl::Time now)> on_tick;
 };
 
+// Runs this host's Fleet on a datagram socket, and sends messages of other
+// components to peers.
 class Peers {
  public:
-  // `loop` outlives this object.
+  // Binds the socket and starts to announce this host. `loop` must outlive this
+  // object.
   static Outcome<std::unique_ptr<Peers>> Start(PeersOptions options,
                                                TablePort table,
                                                loop::EventLoop* loop,
@@ -59,7 +63,8 @@
   Peers(const Peers&) = delete;
   Peers& operator=(const Peers&) = delete;
 
-  // False when the host is not known.
+  // Sends a message in one datagram. Returns false if the host is unknown or
+  // the socket refuses the message.
   bool Send(const std::string& host, std::string_view bytes);
 
   const Fleet& fleet() const { return *fleet_; }
@@ -69,29 +74,30 @@
   Peers(PeersOptions options, TablePort table, loop::EventLoop* loop,
         PeersHooks hooks);
 
-  // This host, as others know it.
+  // Returns this host's own entry.
   HostEntry Self() const;
   void StartFleet();
-  // Writes this host's address and reads the others', again until it is done.
+  // Writes this host's address and then reads those of the peers, with retries
+  // until both succeed.
   void Announce(int tries);
-  void ReadOthers(int tries, const std::string& from);
-  void Again(int tries, std::function<void()> call);
-  void Locate(const std::string& host, const std::string& address);
-  void Take(std::string_view bytes);
+  void ReadHosts(int tries, const std::string& from);
+  void RetryLater(int tries, std::function<void()> call);
+  void SetAddress(const std::string& host, const std::string& address);
+  void HandleDatagram(std::string_view bytes);
   void Tick(absl::Time now);
 
   const PeersOptions options_;
   const TablePort table_;
   loop::EventLoop* const loop_;
   const PeersHooks hooks_;
-  std::string address_;  // Of this host, with the port in use.
+  std::string address_;  // This host's address with the bound port.
   std::unique_ptr<loop::DatagramSocket> socket_;
   std::unique_ptr<Fleet> fleet_;
   absl::flat_hash_map<std::string, settings::Endpoint> addresses_;
   std::uint64_t malformed_ = 0;
-  TimerId tick_ = 0;
-  TimerId announcing_ = 0;
-  TimerId begin_ = 0;
+  TimerId tick_timer_ = 0;
+  TimerId announce_timer_ = 0;
+  TimerId start_timer_ = 0;
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/src/gateway/silent_table_test.cc
+++ b/src/gateway/silent_table_test.cc
@@ -1,5 +1,5 @@
-// Several hosts follow a table service that takes calls in and says nothing for
-// a while, in virtual time.
+// Tests, in virtual time, several hosts that subscribe to a table service which
+// accepts calls and for a while does not answer them.
 
 #include <boost/test/unit_test.hpp>
 #include <memory>
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr absl::Duration kStep = absl::Milliseconds(10);
-constexpr absl::Duration kNewsPeriod = absl::Milliseconds(100);
+constexpr absl::Duration kUpdatePeriod = absl::Milliseconds(100);
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 
 class Hosts {
@@ -22,7 +22,7 @@
   explicit Hosts(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) {
       const std::string name = "h" + std::to_string(i);
-      watches_.push_back(std::make_unique<TableWatch>(name, now));
+      elections_.push_back(std::make_unique<TableWatch>(name, now));
       followers_.push_back(std::make_unique<TableFollower>(
           TableFollowerOptions{.table = "t"}, table.PortFor(i), &timers,
           [this] { return now; }, i + 1,
@@ -37,16 +37,17 @@
       now += kStep;
       timers.Advance(now);
       table.Step();
-      if ((now - start) % kNewsPeriod == absl::ZeroDuration()) Tell();
+      if ((now - start) % kUpdatePeriod == absl::ZeroDuration())
+        PublishStates();
     }
   }
 
-  std::size_t Behind() const {
-    std::size_t behind = 0;
+  std::size_t CountLagging() const {
+    std::size_t lagging = 0;
     for (const auto& follower : followers_) {
-      behind += follower->newest_change() < table.version() ? 1 : 0;
+      lagging += follower->newest_change() < table.version() ? 1 : 0;
     }
-    return behind;
+    return lagging;
   }
 
   absl::Time now = start;
@@ -54,80 +55,81 @@
   FakeTableService table{&now};
 
  private:
-  void Tell() {
+  void PublishStates() {
     for (std::size_t from = 0; from < followers_.size(); ++from) {
-      FleetNews news;
-      news.sender.host = "h" + std::to_string(from);
-      news.period_ms = 250;
-      news.tables = {
+      FleetNews update;
+      update.sender.host = "h" + std::to_string(from);
+      update.period_ms = 250;
+      update.tables = {
           {HashName("t"), followers_[from]->Known(), followers_[from]->up()}};
       for (std::size_t to = 0; to < followers_.size(); ++to) {
         if (to == from || to == table.cut || from == table.cut) continue;
-        watches_[to]->Heard(news, now);
-        followers_[to]->HeardOf(news.tables[0].known);
+        elections_[to]->RecordUpdate(update, now);
+        followers_[to]->HeardOf(update.tables[0].known);
       }
     }
     for (std::size_t i = 0; i < followers_.size(); ++i) {
       followers_[i]->SetWatching(
-          watches_[i]->IsWatcher(followers_[i]->up(), now));
+          elections_[i]->IsMonitor(followers_[i]->up(), now));
     }
   }
 
-  std::vector<std::unique_ptr<TableWatch>> watches_;
+  std::vector<std::unique_ptr<TableWatch>> elections_;
   std::vector<std::unique_ptr<TableFollower>> followers_;
 };
 
-// All that a call may be at: just made, in the middle of its wait, near its
-// end.
+// Times at which a waiting call has just begun, is in the middle of its wait,
+// or is near its end.
 const std::vector<absl::Duration> moments = {
     absl::Seconds(3),  absl::Milliseconds(3350), absl::Milliseconds(3900),
     absl::Seconds(10), absl::Seconds(28),        absl::Milliseconds(29050),
     absl::Seconds(31), absl::Seconds(40)};
 
-// The service falls silent at any moment of a call's life, for five seconds,
-// and the operator changes the configuration just after. Three seconds later
-// every host must know of it; callers would otherwise be served by what was
-// withdrawn.
-BOOST_AUTO_TEST_CASE(AllHostsKnowAChangeSoonAfterASilence) {
+// The service becomes unresponsive for five seconds at any time of a call, and
+// the operator changes the configuration just after. Every host must have the
+// change three seconds after the outage, or callers are served by a withdrawn
+// configuration.
+BOOST_AUTO_TEST_CASE(AllHostsHaveAChangeSoonAfterAnUnresponsiveService) {
   for (const std::size_t count : {1u, 2u, 8u}) {
     for (const absl::Duration moment : moments) {
       Hosts hosts(count);
       hosts.Pass(moment);
-      hosts.table.SetSilent(true);
+      hosts.table.SetUnresponsive(true);
       hosts.Pass(absl::Seconds(5));
-      hosts.table.SetSilent(false);
+      hosts.table.SetUnresponsive(false);
       hosts.Pass(absl::Milliseconds(600));
       hosts.table.Change();
       hosts.Pass(absl::Milliseconds(2400));
-      BOOST_TEST(hosts.Behind() == 0u, count << " hosts, at " << moment);
+      BOOST_TEST(hosts.CountLagging() == 0u, count << " hosts, at " << moment);
     }
   }
 }
 
-// One host is cut off, and the service falls silent before the cut ends: the
-// call that follows the cut is swallowed too.
-BOOST_AUTO_TEST_CASE(AHostThatWasCutOffKnowsItToo) {
+// One host is cut off, and the service becomes unresponsive before the cut
+// ends, so that the host's next call is not answered either.
+BOOST_AUTO_TEST_CASE(AHostThatWasCutOffHasTheChangeToo) {
   for (const absl::Duration moment : moments) {
     for (std::size_t cut = 0; cut < 3; ++cut) {
       Hosts hosts(3);
       hosts.Pass(moment);
       hosts.table.Cut(cut);
       hosts.Pass(absl::Seconds(1));
-      hosts.table.SetSilent(true);
+      hosts.table.SetUnresponsive(true);
       hosts.Pass(absl::Seconds(4));
       hosts.table.cut = static_cast<std::size_t>(-1);
       hosts.Pass(absl::Seconds(1));
-      hosts.table.SetSilent(false);
+      hosts.table.SetUnresponsive(false);
       hosts.Pass(absl::Milliseconds(600));
       hosts.table.Change();
       hosts.Pass(absl::Milliseconds(2400));
-      BOOST_TEST(hosts.Behind() == 0u, "cut " << cut << " at " << moment);
+      BOOST_TEST(hosts.CountLagging() == 0u, "cut " << cut << " at " << moment);
     }
   }
 }
 
-// On a calm day one host pays for all: a call a second, whatever the size.
-BOOST_AUTO_TEST_CASE(CallsOfACalmMinuteHardlyGrowWithTheHosts) {
+// Without changes one host makes a call per second for all, whatever their
+// number.
+BOOST_AUTO_TEST_CASE(IdleCallsHardlyGrowWithTheHosts) {
   Hosts few(1);
   few.Pass(absl::Minutes(1));
   Hosts many(50);
--- a/src/gateway/table_sharing.cc
+++ b/src/gateway/table_sharing.cc
@@ -9,20 +9,20 @@
 namespace gentianlb::gateway {
 namespace {
 
-// A host that hears nothing of the others for so long follows the tables by
-// itself; the next aggregator of a zone is there long before.
+// A host that receives no state of its peers for this time polls the tables
+// itself. A lost aggregator is replaced much sooner.
 constexpr absl::Duration kUnlinked = absl::Seconds(2);
 
-// Where no host that is heard reaches the table service, one of all hosts tries
-// each so often.
+// Mean interval between probes of all hosts together, while no live host
+// reaches the table service.
 constexpr absl::Duration kProbePerHost = absl::Milliseconds(100);
 
-// How many hosts follow besides the aggregators, about: a third of all hosts
-// may be turned away at once, and hardly ever all of these. Each costs at most
-// a call a second while there are changes.
+// Mean number of standbys. The service may refuse a third of all hosts at once,
+// but hardly ever all standbys. Each makes at most one call per second while
+// there are changes.
 constexpr double kStandbys = 5;
 
-// From 0 to below 1, and the same after a restart.
+// Returns a value from 0 to below 1 that a restart does not change.
 double RankOf(std::string_view host) {
   constexpr double kHashes = 1ULL << 32;
   return HashName(host) / kHashes;
@@ -43,7 +43,7 @@
       watch_(host, now),
       others_heard_(now) {
   for (TableFollower* follower : followers_) {
-    // Who follows shows before the first change; none probes before that.
+    // The mode is set before the first change matters; no probe comes earlier.
     follower->SetFollowing(Following::kWhenTold,
                            /*probe_period=*/absl::InfiniteDuration());
     const NameHash table = HashName(follower->table());
@@ -61,11 +61,11 @@
 std::vector<TableNews> TableSharing::Tell() const {
   std::vector<TableNews> tables;
   for (const TableFollower* follower : followers_) {
-    TableNews news;
-    news.table = HashName(follower->table());
-    news.known = follower->Known();
-    news.up = follower->follows();
-    tables.push_back(news);
+    TableNews update;
+    update.table = HashName(follower->table());
+    update.known = follower->Known();
+    update.up = follower->follows();
+    tables.push_back(update);
   }
   return tables;
 }
@@ -82,28 +82,28 @@
 }
 
 void TableSharing::HeardZone(const FleetNews& zone, absl::Time now) {
-  watch_.Heard(zone, now);
+  watch_.RecordUpdate(zone, now);
 }
 
 void TableSharing::Take(const TableChanges& changes) {
   for (TableFollower* follower : followers_) {
     if (!IsOf(*follower, changes.table)) continue;
-    const bool news = follower->TakeHandedOn(changes.since, changes.page);
-    // The service turned this host away, and perhaps others of its zone.
-    if (news && place_.aggregates) hooks_.hand_on(changes);
+    const bool changed = follower->TakeHandedOn(changes.since, changes.page);
+    // The service refused this host, and may refuse others of its zone.
+    if (changed && place_.aggregates) hooks_.hand_on(changes);
   }
 }
 
-void TableSharing::Take(const TableQuestion& question) {
+void TableSharing::Take(const TableQuestion& query) {
   for (const TableFollower* follower : followers_) {
-    if (!IsOf(*follower, question.table)) continue;
-    if (!follower->complete() || follower->version() <= question.since) return;
-    const std::uint64_t since = follower->AnswerableSince(question.since);
+    if (!IsOf(*follower, query.table)) continue;
+    if (!follower->complete() || follower->version() <= query.since) return;
+    const std::uint64_t since = follower->AnswerableSince(query.since);
     LOG(INFO) << "event=table-told table=" << follower->table()
-              << " to=" << question.asker << " knows=" << question.since
+              << " to=" << query.asker << " knows=" << query.since
               << " since=" << since << " version=" << follower->version();
-    hooks_.answer(question.asker,
-                  {question.table, since, follower->ChangesSince(since)});
+    hooks_.answer(query.asker,
+                  {query.table, since, follower->ChangesSince(since)});
   }
 }
 
@@ -115,7 +115,7 @@
 }
 
 bool TableSharing::IsStandby(int hosts) const {
-  // Before it knows of others, a host can't tell.
+  // With one known host, the size of the fleet is not known yet.
   return hosts > 1 && rank_ * hosts < kStandbys;
 }
 
@@ -132,7 +132,7 @@
   const bool reaches =
       std::all_of(followers_.begin(), followers_.end(),
                   [](const TableFollower* one) { return one->up(); });
-  const bool watches = place.aggregates && watch_.IsWatcher(reaches, now);
+  const bool watches = place.aggregates && watch_.IsMonitor(reaches, now);
   for (TableFollower* follower : followers_) {
     follower->SetWatching(watches);
     follower->SetFollowing(Choice(*follower, place, now),
--- a/src/gateway/table_sharing.h
+++ b/src/gateway/table_sharing.h
@@ -1,15 +1,16 @@
-// How the hosts of a fleet learn of a table's changes with few calls of the
-// table service: who of them follows it, and how the others hear of a change.
+// Distributes the changes of tables among the hosts of a fleet with few calls
+// of the table service: decides which hosts subscribe at the service, and how
+// the others receive changes.
 //
-// Aggregators follow, and hand changes on. The service may fail just them, at
-// once or by silence, which shows only after the time that an answer may take:
-// hosts that it would answer would go on with what was withdrawn. So some other
-// hosts follow as well, whichever their zone. They hand nothing on; that they
-// know of a change is told with all news, and who hears so asks the service.
-// Whom that turns away asks other hosts; so does a host that was started while
-// the service is away.
+// Aggregators subscribe and propagate changes. The service may fail just for
+// them, by refusal or by not answering, which shows only after the time that an
+// answer may take. Hosts that it would answer would then stay on withdrawn
+// data. So some standbys of any zone subscribe too. They don't propagate
+// changes, but all updates name the newest change that any host has, and a host
+// that lacks it calls the service. A host that the service refuses queries its
+// peers, and so does a host that starts while the service is unavailable.
 //
-// Knows no network and no clock; the hooks carry what has to leave.
+// Has no network and no clock of its own; the hooks send the messages.
 
 #ifndef GENTIANLB_GATEWAY_TABLE_SHARING_H_
 #define GENTIANLB_GATEWAY_TABLE_SHARING_H_
@@ -25,55 +26,58 @@
 
 namespace gentianlb::gateway {
 
-// This host's place among the others.
+// This host's role in the fleet, and the size of the fleet.
 struct FleetPlace {
-  bool aggregates = false;  // For its zone.
-  int hosts = 1;            // That are known, this one included.
+  bool aggregates = false;  // This host is the aggregator of its zone.
+  int hosts = 1;            // Number of known hosts, including this one.
   auto operator<=>(const FleetPlace&) const = default;
 };
 
 struct TableSharingHooks {
-  // Hands changes on to the hosts of the zone, where this one aggregates.
+  // Sends changes to the live peers of the zone, if this host is the
+  // aggregator.
   std::function<void(const TableChanges& changes)> hand_on;
-  // Asks some other hosts; others than before with each try.
-  std::function<void(const TableQuestion& question, int tries)> ask;
+  // Sends a query to some peers, to different ones with each try.
+  std::function<void(const TableQuestion& query, int tries)> ask;
+  // Replies to a peer's query.
   std::function<void(const std::string& host, const TableChanges& changes)>
       answer;
 };
 
+// Sets the subscription modes of this host and exchanges changes with peers.
 class TableSharing {
  public:
-  // `followers` outlive this object.
+  // `followers` must outlive this object.
   TableSharing(std::string host, std::vector<TableFollower*> followers,
                TableSharingHooks hooks, absl::Time now);
 
-  // What this host knows of the tables.
+  // Returns the state of this host's tables, to be published.
   std::vector<TableNews> Tell() const;
-  // What all others know, as the zone's aggregator tells.
+  // Handles the merged state of all peers.
   void HeardOthers(const FleetNews& others, absl::Time now);
-  // What the aggregator of another zone tells, where this one aggregates.
+  // Handles another zone's state, if this host is an aggregator.
   void HeardZone(const FleetNews& zone, absl::Time now);
-  // Another host hands changes on, or answers.
+  // Applies changes that a peer propagates or replies with.
   void Take(const TableChanges& changes);
-  // Another host asks.
-  void Take(const TableQuestion& question);
+  // Replies to a peer's query, if this host has newer data.
+  void Take(const TableQuestion& query);
 
-  // Decides how this host follows. To be called each period.
+  // Sets the subscription modes. To be called once per period.
   void Choose(const FleetPlace& place, absl::Time now);
 
  private:
   bool OthersFollow(const TableFollower& follower) const;
   Following Choice(const TableFollower& follower, const FleetPlace& place,
                    absl::Time now) const;
-  // Whether this host is one of those that follow besides the aggregators.
+  // Returns whether this host is a standby in a fleet of `hosts` hosts.
   bool IsStandby(int hosts) const;
 
-  const double rank_;  // Of this host among all, from 0 to below 1.
+  const double rank_;  // Hash of this host's name, from 0 to below 1.
   const std::vector<TableFollower*> followers_;
   const TableSharingHooks hooks_;
   FleetPlace place_;
   TableWatch watch_;
-  std::vector<TableNews> others_tables_;  // As told last.
+  std::vector<TableNews> others_tables_;  // Of the last update.
   absl::Time others_heard_;
 };
 
--- a/src/gateway/table_sharing_test.cc
+++ b/src/gateway/table_sharing_test.cc
@@ -1,4 +1,4 @@
-// Hosts of a fleet that share the following of a table, in virtual time.
+// Tests, in virtual time, how the hosts of a fleet receive a table's changes.
 
 #include "gateway/table_sharing.h"
 
@@ -17,9 +17,9 @@
 namespace {
 
 constexpr absl::Duration kSettled = absl::Seconds(6);
-// The shortest time after which a confirmed change must be in force.
+// Time within which a confirmed change must be in force.
 constexpr absl::Duration kPromised = absl::Seconds(2);
-// Between the service's turning hosts away and the change that they miss.
+// Time between the failure of the service and the change.
 constexpr absl::Duration kShortly = absl::Milliseconds(80);
 
 using Message = std::variant<TableChanges, TableQuestion>;
@@ -52,8 +52,9 @@
     return found;
   }
 
-  // The table changes shortly after what was done to the service. So many hosts
-  // don't know it when they should, but for `excused` ones.
+  // Changes the table shortly after a failure of the service. Returns the
+  // number of hosts that lack the change at the deadline, without those in
+  // `excused`.
   int BehindAfterAChange(const std::set<std::size_t>& excused) {
     Pass(kShortly);
     table.Change();
@@ -61,7 +62,7 @@
     return Behind(excused);
   }
 
-  // The process is started again, and knows nothing.
+  // Restarts the host without state.
   void Restart(std::size_t host) {
     const std::string& name = members_[host].host->entry.host;
     members_[host] = Member();
@@ -69,7 +70,8 @@
     members_[host] = MakeMember(static_cast<int>(host));
   }
 
-  // Hosts that don't know the newest change, but for `excused` ones.
+  // Returns the number of hosts that lack the newest change, without those in
+  // `excused`.
   int Behind(const std::set<std::size_t>& excused) const {
     int behind = 0;
     for (std::size_t i = 0; i < members_.size(); ++i) {
@@ -108,9 +110,9 @@
                   Send(host->fleet->Followers(), changes);
                 },
             .ask =
-                [this, host](const TableQuestion& question, int tries) {
-                  Send(host->fleet->WhomToAsk(tries, fleet_.random()),
-                       question);
+                [this, host](const TableQuestion& query, int tries) {
+                  Send(host->fleet->QueryTargets(tries, fleet_.random()),
+                       query);
                 },
             .answer =
                 [this](const std::string& to, const TableChanges& changes) {
@@ -173,8 +175,8 @@
 };
 const std::vector<Size> sizes = {{8, 4}, {64, 3}, {195, 6}};
 
-// Guards against hosts that the service would answer, and that stay on an old
-// configuration since it refuses all who follow for them.
+// Guards against hosts that stay on an old configuration because the service,
+// which would answer them, refuses all aggregators.
 BOOST_AUTO_TEST_CASE(AChangeIsKnownThoughTheServiceRefusesAllAggregators) {
   for (const auto& [hosts, zones] : sizes) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -187,9 +189,9 @@
   }
 }
 
-// The same where it refuses whoever follows, and others must try for
-// themselves.
-BOOST_AUTO_TEST_CASE(AChangeIsKnownThoughTheServiceRefusesAllWhoFollow) {
+// The same when the service refuses all subscribed hosts, standbys included, so
+// that other hosts must probe it.
+BOOST_AUTO_TEST_CASE(AChangeIsKnownThoughTheServiceRefusesAllSubscribers) {
   for (const auto& [hosts, zones] : {Size{64, 3}, Size{195, 6}}) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
@@ -202,51 +204,54 @@
   }
 }
 
-// Followers cost calls: they must not grow with the hosts.
-BOOST_AUTO_TEST_CASE(CallsOfACalmMinuteDontGrowWithTheHosts) {
+// Guards against calls to the service that grow with the number of hosts.
+BOOST_AUTO_TEST_CASE(IdleCallsDontGrowWithTheHosts) {
   SharingSite site(195, 6, 1);
   const int before = site.table.calls;
   site.Pass(absl::Minutes(1));
-  // One watches with a call a second; others make one in half a minute.
+  // The monitor makes a call per second, the others one per half a minute.
   BOOST_TEST(site.table.calls - before <= 60 + 30 * 3);
   BOOST_TEST(site.WhoFollow().size() >= 6 + 3);
 }
 
-// The same where their calls are swallowed, which they notice late.
-BOOST_AUTO_TEST_CASE(AChangeIsKnownThoughTheServiceIsSilentToAllAggregators) {
+// The same when the service doesn't answer the aggregators, which they detect
+// late.
+BOOST_AUTO_TEST_CASE(
+    AChangeIsKnownThoughTheServiceIsUnresponsiveToAllAggregators) {
   for (const auto& [hosts, zones] : sizes) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
       const std::set<std::size_t> unheard = site.Aggregators();
-      site.table.BeSilentTo(unheard);
+      site.table.SetUnresponsiveTo(unheard);
       BOOST_TEST(site.BehindAfterAChange(unheard) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
 }
 
-// The same where the calls of whoever follows are swallowed, and nobody tries.
+// The same when the service doesn't answer any subscribed host, and no other
+// host probes it.
 BOOST_AUTO_TEST_CASE(AChangeIsKnownThoughTheServiceIsSilentToAllWhoFollow,
                      *boost::unit_test::disabled()) {  // See KNOWN-RED.txt.
   for (const auto& [hosts, zones] : {Size{64, 3}, Size{195, 6}}) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
       const std::set<std::size_t> unheard = site.WhoFollow();
-      site.table.BeSilentTo(unheard);
+      site.table.SetUnresponsiveTo(unheard);
       BOOST_TEST(site.BehindAfterAChange(unheard) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
 }
 
-// Who is refused still serves callers, and must not do so by what was
-// withdrawn: it hears from others.
-BOOST_AUTO_TEST_CASE(HostsThatTheServiceRefusesKnowAChangeToo) {
+// Guards against refused hosts that serve callers by a withdrawn configuration.
+// They must receive the change from peers.
+BOOST_AUTO_TEST_CASE(HostsThatTheServiceRefusesReceiveAChangeToo) {
   for (const auto& [hosts, zones] : sizes) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
       site.table.refused = site.Aggregators();
-      // Each third host besides.
+      // Refuses every third host as well.
       for (int i = 0; i < hosts; i += 3) {
         site.table.refused.insert(static_cast<std::size_t>(i));
       }
@@ -256,9 +261,9 @@
   }
 }
 
-// Hosts that are started while the service is away serve by what others know,
-// and not nobody until it is back.
-BOOST_AUTO_TEST_CASE(HostsStartedWhileTheServiceIsAwayLearnTheTable) {
+// Hosts that start while the service is unavailable must receive the table from
+// peers, or they serve no callers until it recovers.
+BOOST_AUTO_TEST_CASE(HostsStartedDuringAnOutageReceiveTheTable) {
   for (const auto& [hosts, zones] : sizes) {
     SharingSite site(hosts, zones, 1);
     for (int i = 0; i < hosts; ++i) {
--- a/src/gateway/table_watch.h
+++ b/src/gateway/table_watch.h
@@ -1,16 +1,15 @@
-// Which of the hosts that follow the tables watches them for all.
+// Election of the host that monitors the table service for all subscribers.
 //
-// What goes wrong: the table service falls silent while every follower has a
-// call waiting there. The calls are swallowed, no connection breaks, and nobody
-// hears of the changes that come after. Short waits at each follower would
-// notice it, at the price of a call a second and table from each. So one asks
-// with short waits, and tells the others of the newest change that it knows;
-// they ask anew when they are behind.
+// Failure: the table service becomes unresponsive while every subscriber has a
+// call waiting there. The calls are never answered, no connection breaks, and
+// no host receives later changes. Short waits of every subscriber would detect
+// it, but cost one call per second and table from each. So one host polls with
+// short waits and publishes the newest change that it has; the others call the
+// service again when they lag.
 //
-// The first by hash, of the zones' aggregators that are heard and reach the
-// service, watches.
-// Nothing is agreed: two that watch for a moment cost some calls, and hosts
-// that are cut off from each other have a watching one on each side.
+// Of the live aggregators that reach the service, the first by hash is elected.
+// The hosts need no agreement: two monitors for a moment cost some calls, and
+// after a network partition each side has its own.
 
 #ifndef GENTIANLB_GATEWAY_TABLE_WATCH_H_
 #define GENTIANLB_GATEWAY_TABLE_WATCH_H_
@@ -23,19 +22,23 @@
 
 namespace gentianlb::gateway {
 
+// Decides whether this host is the monitor, from the updates of other
+// aggregators.
 class TableWatch {
  public:
   TableWatch(std::string host, absl::Time started)
       : host_(std::move(host)), started_(started) {}
 
-  void Heard(const FleetNews& news, absl::Time now);
+  // Records whether the sender, an aggregator, reaches the service.
+  void RecordUpdate(const FleetNews& update, absl::Time now);
 
-  // `reaches`: whether the service answers this host.
-  bool IsWatcher(bool reaches, absl::Time now) const;
+  // Returns whether this host is the monitor. `reaches` says whether the
+  // service answers this host.
+  bool IsMonitor(bool reaches, absl::Time now) const;
 
  private:
   struct Peer {
-    absl::Time believed_until;
+    absl::Time live_until;
     bool reaches = false;
   };
 
--- a/src/gateway/table_watch_test.cc
+++ b/src/gateway/table_watch_test.cc
@@ -9,67 +9,67 @@
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 const std::vector<std::string> hosts = {"h1", "h2", "h3", "h4"};
 
-FleetNews NewsOf(const std::string& host, bool up) {
-  FleetNews news;
-  news.sender.host = host;
-  news.period_ms = 250;
-  news.tables = {{HashName("t"), {7, 0, 7}, up}};
-  return news;
+FleetNews UpdateOf(const std::string& host, bool up) {
+  FleetNews update;
+  update.sender.host = host;
+  update.period_ms = 250;
+  update.tables = {{HashName("t"), {7, 0, 7}, up}};
+  return update;
 }
 
-// The hosts that watch at `now`, when each heard all of `speaking`; those in
-// `turned_away` don't reach the service.
-std::vector<std::string> Watchers(const std::vector<std::string>& speaking,
-                                  const std::vector<std::string>& turned_away) {
+// Returns the monitors if each host received updates of all of `senders`, and
+// the service refuses the hosts in `refused`.
+std::vector<std::string> Monitors(const std::vector<std::string>& senders,
+                                  const std::vector<std::string>& refused) {
   const absl::Time now = start + absl::Seconds(10);
   auto reaches = [&](const std::string& host) {
-    return std::find(turned_away.begin(), turned_away.end(), host) ==
-           turned_away.end();
+    return std::find(refused.begin(), refused.end(), host) == refused.end();
   };
-  std::vector<std::string> watchers;
+  std::vector<std::string> monitors;
   for (const std::string& host : hosts) {
-    TableWatch watch(host, start);
-    for (const std::string& other : speaking) {
-      if (other != host) watch.Heard(NewsOf(other, reaches(other)), now);
+    TableWatch election(host, start);
+    for (const std::string& other : senders) {
+      if (other != host)
+        election.RecordUpdate(UpdateOf(other, reaches(other)), now);
     }
-    if (watch.IsWatcher(reaches(host), now)) watchers.push_back(host);
+    if (election.IsMonitor(reaches(host), now)) monitors.push_back(host);
   }
-  return watchers;
+  return monitors;
 }
 
-BOOST_AUTO_TEST_CASE(OneOfAllHostsWatches) {
-  BOOST_TEST(Watchers(hosts, {}).size() == 1u);
+BOOST_AUTO_TEST_CASE(OneOfAllHostsIsTheMonitor) {
+  BOOST_TEST(Monitors(hosts, {}).size() == 1u);
 }
 
-// The host that watches can't reach the service any more, while the others do.
-// If it went on to hold the role, nobody would notice changes that their own
-// swallowed calls hide.
-BOOST_AUTO_TEST_CASE(AnotherTakesOverFromOneThatIsTurnedAway) {
-  const std::string first = Watchers(hosts, {}).front();
-  const std::vector<std::string> next = Watchers(hosts, {first});
+// The monitor can no longer reach the service while the other hosts can. If it
+// kept the role, changes that the others' unanswered calls hide would go
+// unnoticed.
+BOOST_AUTO_TEST_CASE(AnotherHostReplacesAMonitorThatTheServiceRefuses) {
+  const std::string first = Monitors(hosts, {}).front();
+  const std::vector<std::string> next = Monitors(hosts, {first});
   BOOST_REQUIRE(next.size() == 1u);
   BOOST_TEST(next.front() != first);
 }
 
-// The host that watches freezes. After a second its silence is noticed.
-BOOST_AUTO_TEST_CASE(ASilentHostIsReplacedAfterASecond) {
-  const std::string first = Watchers(hosts, {}).front();
+// The monitor freezes. It must be replaced after a second.
+BOOST_AUTO_TEST_CASE(AnUnresponsiveMonitorIsReplacedAfterASecond) {
+  const std::string first = Monitors(hosts, {}).front();
   for (const std::string& host : hosts) {
     if (host == first) continue;
-    TableWatch watch(host, start);
-    const absl::Time heard = start + absl::Seconds(10);
-    watch.Heard(NewsOf(first, true), heard);
-    BOOST_TEST(!watch.IsWatcher(true, heard + absl::Milliseconds(900)));
-    BOOST_TEST(watch.IsWatcher(true, heard + absl::Milliseconds(1100)));
+    TableWatch election(host, start);
+    const absl::Time received = start + absl::Seconds(10);
+    election.RecordUpdate(UpdateOf(first, true), received);
+    BOOST_TEST(!election.IsMonitor(true, received + absl::Milliseconds(900)));
+    BOOST_TEST(election.IsMonitor(true, received + absl::Milliseconds(1100)));
   }
 }
 
-// All hosts are started at once and have not heard of each other. Each of
-// hundreds would make calls that the service has no room for.
-BOOST_AUTO_TEST_CASE(NobodyWatchesJustAfterTheStart) {
-  const TableWatch watch("h1", start);
-  BOOST_TEST(!watch.IsWatcher(true, start + absl::Seconds(1)));
-  BOOST_TEST(watch.IsWatcher(true, start + absl::Seconds(3)));
+// All hosts start at once and have not received updates of each other. If each
+// of hundreds became the monitor, their calls would overload the service.
+BOOST_AUTO_TEST_CASE(NoHostIsTheMonitorJustAfterTheStart) {
+  const TableWatch election("h1", start);
+  BOOST_TEST(!election.IsMonitor(true, start + absl::Seconds(1)));
+  BOOST_TEST(election.IsMonitor(true, start + absl::Seconds(3)));
 }
 
 }  // namespace
--- a/src/gateway/zone_role.cc
+++ b/src/gateway/zone_role.cc
@@ -7,43 +7,43 @@
 namespace gentianlb::gateway {
 namespace {
 
-// How long each better ranked host has to begin: its own period, the way, and
-// one lost message.
-constexpr int kTurnPeriods = 3;
+// Time that each better ranked host has to start: its own period, the network
+// delay, and one lost message.
+constexpr int kPeriodsPerTurn = 3;
 
-// Who fell silent isn't waited for again for this long.
-constexpr absl::Duration kLeftOut = absl::Seconds(5);
+// How long a lost aggregator is not waited for.
+constexpr absl::Duration kLostAggregatorSkip = absl::Seconds(5);
 
 }  // namespace
 
-void ZoneRole::Learn(const HostEntry& host) {
+void ZoneRole::AddHost(const HostEntry& host) {
   if (host.host == self_.host || host.host.empty()) return;
   known_[host.host].entry = host;
 }
 
-void ZoneRole::Begin(absl::Time now) {
-  if (begun_) return;
-  begun_ = true;
-  unheard_since_ = now;
+void ZoneRole::Start(absl::Time now) {
+  if (started_) return;
+  started_ = true;
+  no_aggregator_since_ = now;
 }
 
-void ZoneRole::HeardAggregator(const std::string& host, absl::Duration period,
-                               absl::Time now) {
+void ZoneRole::RecordAggregator(const std::string& host, absl::Duration period,
+                                absl::Time now) {
   const auto found = known_.find(host);
   if (found == known_.end()) return;
-  found->second.aggregated = now;
+  found->second.last_aggregator_message = now;
   found->second.period = period;
-  found->second.silent_until = absl::InfinitePast();
+  found->second.skipped_until = absl::InfinitePast();
 }
 
-std::vector<std::string> ZoneRole::Better(absl::Time now) const {
-  std::vector<std::string> better;
+std::vector<std::string> ZoneRole::BetterCandidates(absl::Time now) const {
+  std::vector<std::string> candidates;
   for (const auto& [name, known] : known_) {
-    if (known.entry.zone != self_.zone || now < known.silent_until) continue;
-    if (RanksBelow(self_, known.entry)) better.push_back(name);
+    if (known.entry.zone != self_.zone || now < known.skipped_until) continue;
+    if (RanksBelow(self_, known.entry)) candidates.push_back(name);
   }
-  SortBestFirst(&better);
-  return better;
+  SortBestFirst(&candidates);
+  return candidates;
 }
 
 void ZoneRole::SortBestFirst(std::vector<std::string>* names) const {
@@ -52,44 +52,44 @@
   });
 }
 
-void ZoneRole::Lost(absl::Time now) {
+void ZoneRole::OnAggregatorLost(absl::Time now) {
   LOG(WARNING) << "event=aggregator-lost host=" << aggregator_;
-  known_[aggregator_].silent_until = now + kLeftOut;
+  known_[aggregator_].skipped_until = now + kLostAggregatorSkip;
   aggregator_.clear();
-  unheard_since_ = now;
+  no_aggregator_since_ = now;
 }
 
 void ZoneRole::Tick(absl::Duration period, absl::Time now) {
-  if (!begun_) return;
-  const std::vector<std::string> better = Better(now);
-  const auto heard =
-      std::find_if(better.begin(), better.end(), [&](const std::string& name) {
+  if (!started_) return;
+  const std::vector<std::string> candidates = BetterCandidates(now);
+  const auto live = std::find_if(
+      candidates.begin(), candidates.end(), [&](const std::string& name) {
         const Known& known = known_.at(name);
-        return now - known.aggregated <= Believed(known.period);
+        return now - known.last_aggregator_message <= Believed(known.period);
       });
-  if (heard != better.end()) {
-    if (aggregator_ != *heard) {
-      LOG(INFO) << "event=aggregator host=" << *heard
+  if (live != candidates.end()) {
+    if (aggregator_ != *live) {
+      LOG(INFO) << "event=aggregator host=" << *live
                 << " before=" << aggregator_;
     }
-    aggregator_ = *heard;
-    aggregates_ = false;
+    aggregator_ = *live;
+    is_aggregator_ = false;
     return;
   }
-  if (aggregates_) return;
-  if (!aggregator_.empty()) return Lost(now);
-  const auto turn =
-      static_cast<std::size_t>(absl::ToDoubleSeconds(now - unheard_since_) /
-                               absl::ToDoubleSeconds(kTurnPeriods * period));
-  next_ = turn < better.size() ? better[turn] : self_.host;
-  if (turn < better.size()) return;
-  aggregates_ = true;
+  if (is_aggregator_) return;
+  if (!aggregator_.empty()) return OnAggregatorLost(now);
+  const auto turn = static_cast<std::size_t>(
+      absl::ToDoubleSeconds(now - no_aggregator_since_) /
+      absl::ToDoubleSeconds(kPeriodsPerTurn * period));
+  next_ = turn < candidates.size() ? candidates[turn] : self_.host;
+  if (turn < candidates.size()) return;
+  is_aggregator_ = true;
   aggregator_ = self_.host;
   LOG(INFO) << "event=aggregates zone=" << self_.zone
             << " known=" << known_.size() + 1;
 }
 
-std::string ZoneRole::ReportTo() const {
+std::string ZoneRole::ReportTarget() const {
   return aggregator_.empty() ? next_ : aggregator_;
 }
 
@@ -98,7 +98,7 @@
   return found == known_.end() ? nullptr : &found->second.entry;
 }
 
-std::vector<std::string> ZoneRole::Neighbours() const {
+std::vector<std::string> ZoneRole::ZonePeers() const {
   std::vector<std::string> names;
   for (const auto& [name, known] : known_) {
     if (known.entry.zone == self_.zone) names.push_back(name);
--- a/src/gateway/zone_role.h
+++ b/src/gateway/zone_role.h
@@ -1,13 +1,14 @@
-// Which entry host of an availability zone is its aggregator.
+// Election of the aggregator of an availability zone.
 //
-// Nothing is agreed. The best ranked host of a zone that is heard to aggregate
-// is taken by all others there. A host that hears no better one aggregates
-// itself: at once if it knows of none, else after the better ones have had time
-// to. So a lost aggregator is followed by the next that lives, and one that
-// comes back takes over again. Two of a zone at once cost some messages, and
-// nobody is counted twice, as each host tells about itself to one of them.
+// The hosts need no agreement. Each host accepts the best ranked host of its
+// zone that sends aggregator messages. A host that receives none from a better
+// ranked host becomes aggregator itself: at once if it knows no better host,
+// else after these had time to start. So the next live host replaces a lost
+// aggregator, and a returning one takes over again. Two aggregators of a zone
+// at once cost some messages, but no host is counted twice, since each reports
+// to only one of them.
 //
-// Knows no network and no clock.
+// Has no network and no clock of its own.
 
 #ifndef GENTIANLB_GATEWAY_ZONE_ROLE_H_
 #define GENTIANLB_GATEWAY_ZONE_ROLE_H_
@@ -24,74 +25,80 @@
 
 namespace gentianlb::gateway {
 
-// A sender that is silent for so long has been killed, froze or is cut off. A
-// host with a small processor stands still for some tenths of a second when it
-// has used its part up.
+// Returns the time after which an unresponsive sender counts as killed, frozen
+// or cut off. A host with a small share of a processor may stall for some
+// tenths of a second when the share is used up.
 inline absl::Duration Believed(absl::Duration period) {
   constexpr int kPeriods = 4;
-  constexpr absl::Duration kShortest = absl::Milliseconds(400);
-  return std::max(kShortest, kPeriods * period);
+  constexpr absl::Duration kMinTimeout = absl::Milliseconds(400);
+  return std::max(kMinTimeout, kPeriods * period);
 }
 
-// Whether what was heard `silence` ago is new enough for parts of limits. Until
-// a cut shows, every side uses the whole limit, so that little more than one
-// message that is missing is taken for one. Where it was lost by chance,
-// leaving out that host's part for a moment harms nobody.
-inline bool IsCurrent(absl::Duration silence, absl::Duration period) {
+// Returns whether an update of age `silence` is recent enough for shares of
+// limits. Until a network partition is detected every side uses the whole
+// limit, so little more than one missing message counts as a partition. If the
+// message was lost by chance, it does no harm to leave out that host's share
+// for a moment.
+inline bool IsCurrent(absl::Duration age, absl::Duration period) {
   constexpr double kPeriods = 1.8;
-  return silence <= kPeriods * period;
+  return age <= kPeriods * period;
 }
 
 class ZoneRole {
  public:
   ZoneRole(HostEntry self, absl::Time now)
-      : self_(std::move(self)), unheard_since_(now) {}
+      : self_(std::move(self)), no_aggregator_since_(now) {}
 
-  // A host, of any zone, that is known; the newest entry counts.
-  void Learn(const HostEntry& host);
-  // The table of hosts was read, or can't be: before, every host would take
-  // itself for the only one.
-  void Begin(absl::Time now);
-  // It sent what only an aggregator sends.
-  void HeardAggregator(const std::string& host, absl::Duration period,
-                       absl::Time now);
-  // To be called each period.
+  // Adds a host of any zone or replaces its entry.
+  void AddHost(const HostEntry& host);
+  // Starts the election. To be called once the table of hosts was read or can't
+  // be read; before that, every host would elect itself.
+  void Start(absl::Time now);
+  // Records that `host` sent a message that only an aggregator sends.
+  void RecordAggregator(const std::string& host, absl::Duration period,
+                        absl::Time now);
+  // Updates the result of the election. To be called once per period.
   void Tick(absl::Duration period, absl::Time now);
 
-  bool aggregates() const { return aggregates_; }
-  // Whom this host takes; empty while it hears none.
+  // Returns whether this host is the aggregator.
+  bool aggregates() const { return is_aggregator_; }
+  // Returns the aggregator, or an empty string if none is live.
   const std::string& aggregator() const { return aggregator_; }
-  // Whom to tell about this host: the aggregator, or who should be the next.
-  std::string ReportTo() const;
+  // Returns the host to report to: the aggregator or the expected next one.
+  std::string ReportTarget() const;
 
+  // Returns the number of known hosts, including this one.
   int known() const { return static_cast<int>(known_.size()) + 1; }
   const HostEntry& self() const { return self_; }
+  // Returns null if the host is unknown.
   const HostEntry* Find(const std::string& host) const;
-  // The other hosts of this zone, the best first.
-  std::vector<std::string> Neighbours() const;
-  // The other zones, each with its hosts, the best first.
+  // Returns the peers of this zone, the best first.
+  std::vector<std::string> ZonePeers() const;
+  // Returns the hosts of each other zone, the best first.
   std::map<std::string, std::vector<std::string>> OtherZones() const;
 
  private:
   struct Known {
     HostEntry entry;
-    absl::Time silent_until = absl::InfinitePast();
-    absl::Time aggregated = absl::InfinitePast();  // Heard to.
+    absl::Time skipped_until = absl::InfinitePast();
+    absl::Time last_aggregator_message =
+        absl::InfinitePast();  // Last aggregator message.
     absl::Duration period;
   };
 
-  void Lost(absl::Time now);
-  // Better ones that may be about to aggregate, the best first.
-  std::vector<std::string> Better(absl::Time now) const;
+  void OnAggregatorLost(absl::Time now);
+  // Returns the better ranked hosts of the zone that may be or become
+  // aggregator, the best first.
+  std::vector<std::string> BetterCandidates(absl::Time now) const;
   void SortBestFirst(std::vector<std::string>* names) const;
 
   const HostEntry self_;
   absl::flat_hash_map<std::string, Known> known_;
-  bool begun_ = false;
-  bool aggregates_ = false;
+  bool started_ = false;
+  bool is_aggregator_ = false;
   std::string aggregator_;
-  std::string next_;  // Who should be the aggregator while none is heard.
-  absl::Time unheard_since_;
+  std::string next_;  // Expected next aggregator while none is live.
+  absl::Time no_aggregator_since_;
 };
 
 }  // namespace gentianlb::gateway
