--- a/src/gateway/aggregate.cc
+++ b/src/gateway/aggregate.cc
@@ -46,11 +46,12 @@
   const auto [found, first] = tables.try_emplace(table.table);
   TableNews& sum = found->second;
   sum.table = table.table;
-  sum.known = first ? table.known : Join(sum.known, table.known);
+  sum.history = first ? table.history : Join(sum.history, table.history);
   if (table.up) ++up[table.table];
-  if (table.returned_ms < 0) return;
-  const bool newer = sum.returned_ms < 0 || table.returned_ms < sum.returned_ms;
-  if (newer) sum.returned_ms = table.returned_ms;
+  if (table.recovery_age_ms < 0) return;
+  const bool newer =
+      sum.recovery_age_ms < 0 || table.recovery_age_ms < sum.recovery_age_ms;
+  if (newer) sum.recovery_age_ms = table.recovery_age_ms;
 }
 
 void Aggregate::Sums::AddServers(const std::vector<ServerUse>& uses) {
@@ -58,11 +59,12 @@
     ServerUse& sum = servers[use.server];
     sum.server = use.server;
     sum.running = static_cast<std::uint16_t>(sum.running + use.running);
-    sum.alone = static_cast<std::uint16_t>(sum.alone + use.alone);
-    if (use.decode <= 0) continue;
+    sum.ungranted = static_cast<std::uint16_t>(sum.ungranted + use.ungranted);
+    if (use.decode_slowdown <= 0) continue;
     const auto count = static_cast<float>(++slowdown_sources_[use.server]);
-    sum.prefill += (use.prefill - sum.prefill) / count;
-    sum.decode += (use.decode - sum.decode) / count;
+    sum.prefill_slowdown +=
+        (use.prefill_slowdown - sum.prefill_slowdown) / count;
+    sum.decode_slowdown += (use.decode_slowdown - sum.decode_slowdown) / count;
   }
 }
 
@@ -73,8 +75,8 @@
     sum.workspace = use.workspace;
     sum.tokens_per_second += use.tokens_per_second;
     if (!current) continue;
-    sum.part += use.part;
-    sum.parts = static_cast<std::uint16_t>(sum.parts + use.parts);
+    sum.share += use.share;
+    sum.shares = static_cast<std::uint16_t>(sum.shares + use.shares);
   }
   for (const TableNews& table : update.tables) AddTable(table);
   AddServers(update.servers);
@@ -235,8 +237,8 @@
     update.workspaces.push_back(use);
     const auto total = totals.find(name);
     if (total == totals.end()) continue;
-    update.workspaces.back().let_through = total->second.let_through;
-    update.workspaces.back().given_back = total->second.given_back;
+    update.workspaces.back().admitted = total->second.let_through;
+    update.workspaces.back().refunded = total->second.given_back;
   }
   for (const auto& [name, table] : sums.tables) {
     update.tables.push_back(table);
@@ -265,8 +267,8 @@
   for (WorkspaceUse& use : update.workspaces) {
     const auto contribution = own.contribution.find(use.workspace);
     if (contribution == own.contribution.end()) continue;
-    use.let_through -= contribution->second.let_through;
-    use.given_back -= contribution->second.given_back;
+    use.admitted -= contribution->second.let_through;
+    use.refunded -= contribution->second.given_back;
   }
   if (!IsLive(own, merge_time_)) return update;
   const bool current = IsCurrent(merge_time_ - own.received, period);
@@ -276,8 +278,8 @@
       if (use.workspace != own_entry.workspace) continue;
       use.tokens_per_second -= own_entry.tokens_per_second;
       if (!current) continue;
-      use.part -= own_entry.part;
-      use.parts = static_cast<std::uint16_t>(use.parts - own_entry.parts);
+      use.share -= own_entry.share;
+      use.shares = static_cast<std::uint16_t>(use.shares - own_entry.shares);
     }
   }
   for (const TableNews& own_entry : own.update.tables) {
@@ -292,7 +294,8 @@
                                     return entry.server == own_entry.server;
                                   });
     use->running = static_cast<std::uint16_t>(use->running - own_entry.running);
-    use->alone = static_cast<std::uint16_t>(use->alone - own_entry.alone);
+    use->ungranted =
+        static_cast<std::uint16_t>(use->ungranted - own_entry.ungranted);
   }
   return update;
 }
--- a/src/gateway/aggregate_test.cc
+++ b/src/gateway/aggregate_test.cc
@@ -55,9 +55,9 @@
   aggregate.RecordUpdate(other, now);
   aggregate.Merge(now);
   BOOST_TEST(UseOf(aggregate, "s").running == 15);
-  BOOST_TEST(UseOf(aggregate, "s").prefill == 1.0F);
-  BOOST_TEST(UseOf(aggregate, "s").decode == 3.0F);
-  BOOST_TEST(UseOf(aggregate, "t").decode == 0.0F);
+  BOOST_TEST(UseOf(aggregate, "s").prefill_slowdown == 1.0F);
+  BOOST_TEST(UseOf(aggregate, "s").decode_slowdown == 3.0F);
+  BOOST_TEST(UseOf(aggregate, "t").decode_slowdown == 0.0F);
   // A host receives its peers' use without its own.
   const FleetNews peers = aggregate.UpdateForHost("h2");
   BOOST_TEST(peers.hosts == 1);
@@ -86,7 +86,7 @@
     update.workspaces = {{HashName("w"), 1, let_through}};
     aggregate.RecordUpdate(update, at);
     aggregate.Merge(at);
-    return aggregate.ZoneUpdate().workspaces.front().let_through;
+    return aggregate.ZoneUpdate().workspaces.front().admitted;
   };
   BOOST_TEST(record(1000, now) == 0u);  // Counting starts here.
   BOOST_TEST(record(1500, now + absl::Milliseconds(100)) == 500u);
@@ -120,7 +120,7 @@
   other.tables = {{HashName("t"), b}};
   aggregate.RecordUpdate(other, now);
   aggregate.Merge(now);
-  return aggregate.ZoneUpdate().tables.at(0).known;
+  return aggregate.ZoneUpdate().tables.at(0).history;
 }
 
 // Guards against removals that a host misses because two histories are joined
--- a/src/gateway/demand.cc
+++ b/src/gateway/demand.cc
@@ -140,8 +140,8 @@
   // Started anew: what the others leave, divided among those of whom nothing is
   // known.
   const WorkspaceUse* use = OthersUse(workspace);
-  const double left = use == nullptr ? 1.0 : 1.0 - use->part;
-  const int known = use == nullptr ? 0 : use->parts;
+  const double left = use == nullptr ? 1.0 : 1.0 - use->share;
+  const int known = use == nullptr ? 0 : use->shares;
   return std::max(0.0, left) / std::max(1, hosts_ - known);
 }
 
@@ -161,7 +161,7 @@
   if (AllHeard(now)) return 1;
   double part = OwnPart(workspace);
   if (const WorkspaceUse* use = OthersUse(workspace); use && IsHeard(now)) {
-    part += std::max(0.0F, use->part);
+    part += std::max(0.0F, use->share);
   }
   return std::clamp(part, kLeast, 1.0);
 }
--- a/src/gateway/demand_test.cc
+++ b/src/gateway/demand_test.cc
@@ -151,7 +151,7 @@
   }
   void KillAggregators() {
     for (auto& [name, host] : fleet_.hosts) {
-      if (host.fleet->aggregates()) fleet_.Kill(name);
+      if (host.fleet->is_aggregator()) fleet_.Kill(name);
     }
   }
   void CutOffZone(const std::string& zone) {
@@ -496,7 +496,7 @@
   Demand demand;
   demand.Know(2);
   demand.Agree({workspace_name}, start);
-  BOOST_TEST(demand.Tell(start).front().part == 0.5F);
+  BOOST_TEST(demand.Tell(start).front().share == 0.5F);
   FleetNews news;
   news.sender.host = "h";
   news.period_ms = 100;
--- a/src/gateway/fake_table_test.h
+++ b/src/gateway/fake_table_test.h
@@ -31,8 +31,8 @@
       if (refused.contains(host)) return done(TableFailure::kUnavailable);
       done(PageOf(/*since=*/0));
     };
-    port.follow = [this, host](const std::string&, std::uint64_t since,
-                               absl::Duration wait, TableDone done) {
+    port.poll_changes = [this, host](const std::string&, std::uint64_t since,
+                                     absl::Duration wait, TableDone done) {
       ++calls;
       calls_.push_back({host, since, now_ + wait, now_ + wait + kAnswerMargin,
                         unresponsive, std::move(done)});
--- a/src/gateway/fleet.cc
+++ b/src/gateway/fleet.cc
@@ -48,7 +48,7 @@
                                              std::uint64_t seed) const {
   std::vector<std::string> targets;
   const std::string& current = election_.aggregator();
-  if (!current.empty() && !election_.aggregates()) targets.push_back(current);
+  if (!current.empty() && !election_.won()) targets.push_back(current);
   if (tries == 0 && !targets.empty()) return targets;
   std::vector<std::string> all = election_.ZonePeers();
   for (const auto& [zone, hosts] : election_.OtherZones()) {
@@ -85,8 +85,8 @@
 }
 
 const HostEntry* Fleet::Aggregator() const {
-  return election_.aggregates() ? &election_.self()
-                                : election_.Find(election_.aggregator());
+  return election_.won() ? &election_.self()
+                         : election_.Find(election_.aggregator());
 }
 
 FleetNews Fleet::ComposeOwnUpdate() {
@@ -109,7 +109,7 @@
   }
   if (update.scope == NewsScope::kNone) return;
   if (update.scope == NewsScope::kAll) return OnPeersUpdate(update, now);
-  if (!election_.aggregates()) return Refer(update.sender.host, Aggregator());
+  if (!election_.won()) return Refer(update.sender.host, Aggregator());
   if (!aggregate_.RecordUpdate(update, now)) return;
   if (update.scope == NewsScope::kZone) OnZoneUpdate(update, now);
 }
@@ -146,16 +146,16 @@
   peers_position_ = PlaceOf(update);
   peers_received_ = now;
   period_ = absl::Milliseconds(update.period_ms);
-  if (update.settled) hooks_.on_others(update);
+  if (update.settled) hooks_.on_peers(update);
 }
 
 void Fleet::Tick(absl::Time now) {
   ++ticks_;
-  const bool was_aggregator = election_.aggregates();
+  const bool was_aggregator = election_.won();
   const bool paused = now - last_tick_ > Believed(period_);
   last_tick_ = now;
   election_.Tick(period_, now);
-  if (!election_.aggregates()) return SendReport();
+  if (!election_.won()) return SendReport();
   if (!was_aggregator || paused) StartAggregating(now);
   Publish(now);
 }
@@ -265,12 +265,12 @@
   if (!settled) return;
   own.detailed = true;
   FillHeader(&own);
-  hooks_.on_others(own);
+  hooks_.on_peers(own);
 }
 
 std::vector<std::string> Fleet::Followers() const {
   std::vector<std::string> names;
-  if (!election_.aggregates()) return names;
+  if (!election_.won()) return names;
   for (const HostEntry& host : aggregate_.live()) {
     if (host.host != election_.self().host) names.push_back(host.host);
   }
--- a/src/gateway/fleet.h
+++ b/src/gateway/fleet.h
@@ -26,7 +26,7 @@
   // Fills in the state of this host.
   std::function<void(FleetNews* own)> compose;
   // Called with the merged state of all peers.
-  std::function<void(const FleetNews& others)> on_others;
+  std::function<void(const FleetNews& others)> on_peers;
   // Called on an aggregator with the state of another zone.
   std::function<void(const FleetNews& zone)> on_zone;
   // Called when a peer becomes known or its entry changes.
@@ -56,8 +56,8 @@
   absl::Duration Period() const { return period_; }
 
   // Returns the number of known hosts, including this one.
-  int known() const { return election_.known(); }
-  bool aggregates() const { return election_.aggregates(); }
+  int known_hosts() const { return election_.known_hosts(); }
+  bool is_aggregator() const { return election_.won(); }
   const std::string& aggregator() const { return election_.aggregator(); }
   // Returns the peers to query for missing data: the aggregator, and from the
   // second try on, or without an aggregator, two random peers as well. `draw`
--- a/src/gateway/fleet_messages.cc
+++ b/src/gateway/fleet_messages.cc
@@ -39,7 +39,8 @@
 
 void WriteDetails(WireWriter& writer, const FleetNews& update) {
   WriteList(writer, update.servers, [&](const ServerUse& use) {
-    writer(use.server, use.running, use.alone, use.prefill, use.decode);
+    writer(use.server, use.running, use.ungranted, use.prefill_slowdown,
+           use.decode_slowdown);
   });
   WriteHosts(writer, update.dispatchers);
   WriteHosts(writer, update.neighbours);
@@ -47,7 +48,8 @@
 
 void ReadDetails(WireReader& reader, FleetNews* update) {
   ReadList(reader, &update->servers, [&](ServerUse& use) {
-    reader(use.server, use.running, use.alone, use.prefill, use.decode);
+    reader(use.server, use.running, use.ungranted, use.prefill_slowdown,
+           use.decode_slowdown);
   });
   ReadHosts(reader, &update->dispatchers);
   ReadHosts(reader, &update->neighbours);
@@ -68,12 +70,12 @@
   reader(update->incarnation, update->sequence, update->period_ms,
          update->age_ms, update->hosts, update->complete, update->draining);
   ReadList(reader, &update->workspaces, [&](WorkspaceUse& use) {
-    reader(use.workspace, use.tokens_per_second, use.let_through,
-           use.given_back, use.part, use.parts, use.unheard);
+    reader(use.workspace, use.tokens_per_second, use.admitted, use.refunded,
+           use.share, use.shares, use.unreported);
   });
   ReadList(reader, &update->tables, [&](TableNews& table) {
-    reader(table.table, table.known.newest_change, table.known.since,
-           table.known.version, table.up, table.returned_ms);
+    reader(table.table, table.history.newest_change, table.history.since,
+           table.history.version, table.up, table.recovery_age_ms);
   });
   Read(reader, update->aggregator);
   reader(update->settled, update->detailed);
@@ -90,7 +92,7 @@
 }
 
 void ReadQuery(WireReader& reader, TableQuestion* query) {
-  ReadText(reader, &query->asker);
+  ReadText(reader, &query->requester);
   reader(query->table, query->since);
 }
 
@@ -134,12 +136,12 @@
   writer(update.incarnation, update.sequence, update.period_ms, update.age_ms,
          update.hosts, update.complete, update.draining);
   WriteList(writer, update.workspaces, [&](const WorkspaceUse& use) {
-    writer(use.workspace, use.tokens_per_second, use.let_through,
-           use.given_back, use.part, use.parts, use.unheard);
+    writer(use.workspace, use.tokens_per_second, use.admitted, use.refunded,
+           use.share, use.shares, use.unreported);
   });
   WriteList(writer, update.tables, [&](const TableNews& table) {
-    writer(table.table, table.known.newest_change, table.known.since,
-           table.known.version, table.up, table.returned_ms);
+    writer(table.table, table.history.newest_change, table.history.since,
+           table.history.version, table.up, table.recovery_age_ms);
   });
   Write(writer, update.aggregator);
   writer(update.settled, update.detailed);
@@ -182,7 +184,7 @@
   std::ostringstream out;
   out << kQueryMark;
   WireWriter writer(out);
-  WriteText(writer, query.asker);
+  WriteText(writer, query.requester);
   writer(query.table, query.since);
   return out.str();
 }
--- a/src/gateway/fleet_messages.h
+++ b/src/gateway/fleet_messages.h
@@ -42,33 +42,33 @@
   std::uint16_t running = 0;  // Requests that run on the server.
   // Of these, the requests that the dispatcher of the server's group did not
   // grant.
-  std::uint16_t alone = 0;
+  std::uint16_t ungranted = 0;
   // Measured time divided by expected time of each phase; 0: not measured.
-  float prefill = 0;
-  float decode = 0;
+  float prefill_slowdown = 0;
+  float decode_slowdown = 0;
   auto operator<=>(const ServerUse&) const = default;
 };
 
 // Use of a workspace's limit by one or several hosts.
 struct WorkspaceUse {
   NameHash workspace = 0;
-  float tokens_per_second = 0;    // Demand of the callers, served or not.
-  std::uint64_t let_through = 0;  // Tokens since the sender began to count.
-  std::uint64_t given_back = 0;   // Of these, tokens of requests not sent.
-  float part = 0;           // Share of the limit that is used; 0: unknown.
-  std::uint16_t parts = 0;  // Number of hosts whose share is known.
+  float tokens_per_second = 0;  // Demand of the callers, served or not.
+  std::uint64_t admitted = 0;   // Tokens since the sender began to count.
+  std::uint64_t refunded = 0;   // Of these, tokens of requests not sent.
+  float share = 0;              // Share of the limit that is used; 0: unknown.
+  std::uint16_t shares = 0;     // Number of hosts whose share is known.
   // Tokens that a host admitted since it last received its peers' state.
-  float unheard = 0;
+  float unreported = 0;
   auto operator<=>(const WorkspaceUse&) const = default;
 };
 
 // State of a table's copy on one or several hosts.
 struct TableNews {
   NameHash table = 0;
-  TableKnowledge known;
+  TableKnowledge history;
   bool up = false;  // The table service answers.
   // Time since the service recovered from an outage; below 0: no outage.
-  std::int32_t returned_ms = -1;
+  std::int32_t recovery_age_ms = -1;
   auto operator<=>(const TableNews&) const = default;
 };
 
@@ -146,7 +146,7 @@
 
 // Asks a peer for the changes of a table that it has.
 struct TableQuestion {
-  std::string asker;  // Host to reply to.
+  std::string requester;  // Host to reply to.
   NameHash table = 0;
   std::uint64_t since = 0;  // Version that this host has; 0: none.
   bool operator==(const TableQuestion&) const = default;
--- a/src/gateway/fleet_site_test.h
+++ b/src/gateway/fleet_site_test.h
@@ -68,7 +68,7 @@
     hooks.compose = [host](FleetNews* own) {
       if (host->compose) host->compose(own);
     };
-    hooks.on_others = [this, host](const FleetNews& others) {
+    hooks.on_peers = [this, host](const FleetNews& others) {
       FleetNews latest = others;
       if (!latest.detailed) {
         latest.dispatchers = host->others.dispatchers;
@@ -138,7 +138,7 @@
   std::map<std::string, int> AggregatorsByZone() {
     std::map<std::string, int> aggregators;
     for (const Host* host : Up()) {
-      aggregators[host->entry.zone] += host->fleet->aggregates() ? 1 : 0;
+      aggregators[host->entry.zone] += host->fleet->is_aggregator() ? 1 : 0;
     }
     return aggregators;
   }
--- a/src/gateway/fleet_test.cc
+++ b/src/gateway/fleet_test.cc
@@ -152,7 +152,7 @@
   site.Pass(absl::Seconds(4));
   FleetSite::Host* frozen = nullptr;
   for (FleetSite::Host* host : site.Up()) {
-    if (host->fleet->aggregates()) frozen = host;
+    if (host->fleet->is_aggregator()) frozen = host;
   }
   BOOST_REQUIRE(frozen != nullptr);
   const std::size_t dispatchers = frozen->others.dispatchers.size();
@@ -205,7 +205,7 @@
   newcomer.entry = {"new", "10.0.0.2:1", "z0", 0.12F};
   site.Start("new");
   for (FleetSite::Host* host : site.Up()) {
-    if (host->fleet->aggregates() || host->entry.zone != "z1") continue;
+    if (host->fleet->is_aggregator() || host->entry.zone != "z1") continue;
     newcomer.fleet->AddHost(host->entry);
     break;
   }
--- a/src/gateway/forwarder_sending.cc
+++ b/src/gateway/forwarder_sending.cc
@@ -90,14 +90,14 @@
         use.running = static_cast<std::uint16_t>(running->second);
       }
       if (groups_ != nullptr) {
-        use.alone = static_cast<std::uint16_t>(
+        use.ungranted = static_cast<std::uint16_t>(
             std::max(0, use.running - groups_->GrantedOn(server.id)));
       }
       if (const auto pace = queue.dispatcher().PaceOf(server.id)) {
-        use.prefill = static_cast<float>(pace->prefill);
-        use.decode = static_cast<float>(pace->decode);
+        use.prefill_slowdown = static_cast<float>(pace->prefill);
+        use.decode_slowdown = static_cast<float>(pace->decode);
       }
-      if (use.running > 0 || use.decode > 0) uses.push_back(use);
+      if (use.running > 0 || use.decode_slowdown > 0) uses.push_back(use);
     }
   }
   return uses;
@@ -114,10 +114,12 @@
       if (told.running != use.running) {
         Tell(service.id, schedule::LoadElsewhere{server.id, use.running});
       }
-      const bool paced = use.decode > 0 && service.engine;
-      if (paced && (told.decode != use.decode || told.prefill != use.prefill)) {
+      const bool paced = use.decode_slowdown > 0 && service.engine;
+      if (paced && (told.decode_slowdown != use.decode_slowdown ||
+                    told.prefill_slowdown != use.prefill_slowdown)) {
         Tell(service.id,
-             schedule::PaceElsewhere{server.id, use.prefill, use.decode});
+             schedule::PaceElsewhere{server.id, use.prefill_slowdown,
+                                     use.decode_slowdown});
       }
       told = use;
     }
--- a/src/gateway/group_dispatchers.cc
+++ b/src/gateway/group_dispatchers.cc
@@ -234,7 +234,7 @@
     for (const ServerEntry& server : known.servers) {
       if (kept.queue.FindServer(server.id) == nullptr) continue;
       const auto found = uses.find(HashName(server.id.str()));
-      const int alone = found == uses.end() ? 0 : found->second.alone;
+      const int alone = found == uses.end() ? 0 : found->second.ungranted;
       int& told = kept.alone[server.id];
       if (told == alone) continue;
       told = alone;
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -233,10 +233,10 @@
                  table, follower->up() ? 1 : 0);
     metrics_.Set("gentianlb_table_follows",
                  "1 while this host asks the service itself", table,
-                 follower->follows() ? 1 : 0);
+                 follower->subscribed() ? 1 : 0);
     metrics_.Set("gentianlb_table_behind_seconds",
                  "Since a change is known of that isn't here", table,
-                 absl::ToDoubleSeconds(follower->Behind()));
+                 absl::ToDoubleSeconds(follower->Lag()));
   }
   metrics_.Set("gentianlb_log_lines_left_out", "For the log's bound", {},
                static_cast<double>(log_->left_out()));
--- a/src/gateway/host_fleet.cc
+++ b/src/gateway/host_fleet.cc
@@ -27,12 +27,12 @@
   options.table = platform_.host_table;
   PeersHooks hooks;
   hooks.compose = [this](FleetNews* update) { ComposeNews(update); };
-  hooks.on_others = [this](const FleetNews& others) { TakeOthers(others); };
+  hooks.on_peers = [this](const FleetNews& others) { TakeOthers(others); };
   hooks.on_zone = [this](const FleetNews& zone) {
     sharing_.HeardZone(zone, loop_->now());
   };
-  hooks.on_other = [this](std::string_view bytes) { TakeOther(bytes); };
-  hooks.on_known = [this](int hosts) { demand_.Know(hosts); };
+  hooks.on_message = [this](std::string_view bytes) { TakeOther(bytes); };
+  hooks.on_host_count = [this](int hosts) { demand_.Know(hosts); };
   hooks.on_tick = [this](absl::Time now) { UseNews(now); };
   auto started =
       Peers::Start(options, platform_.table, loop_, std::move(hooks));
@@ -48,9 +48,9 @@
   update->tables = sharing_.Tell();
   // Only an aggregator reports a recovery: another host may have been cut off
   // alone.
-  if (!peers_->fleet().aggregates()) return;
+  if (!peers_->fleet().is_aggregator()) return;
   for (TableNews& table : update->tables) {
-    table.returned_ms = service_return_.ToTell(loop_->now());
+    table.recovery_age_ms = service_return_.ToTell(loop_->now());
   }
 }
 
@@ -60,7 +60,7 @@
     forwarder_.quotas().Spend(spent.workspace, spent.tokens, now);
   }
   for (const TableNews& table : others.tables) {
-    service_return_.Heard(table.returned_ms, now);
+    service_return_.Heard(table.recovery_age_ms, now);
     directory_.ServiceReturned(service_return_.latest());
   }
   sharing_.HeardOthers(others, now);
@@ -108,7 +108,7 @@
   // Until Peers has started, no peer is known.
   if (peers_ == nullptr) return;
   const std::uint64_t draw =
-      absl::HashOf(query.asker, query.table, tries, loop_->now());
+      absl::HashOf(query.requester, query.table, tries, loop_->now());
   const std::string bytes = Encode(query);
   for (const std::string& host : peers_->fleet().QueryTargets(tries, draw)) {
     peers_->Send(host, bytes);
@@ -116,7 +116,7 @@
 }
 
 void Host::UseNews(absl::Time now) {
-  sharing_.Choose({peers_->fleet().aggregates(), demand_.hosts()}, now);
+  sharing_.Choose({peers_->fleet().is_aggregator(), demand_.hosts()}, now);
   Quotas& quotas = forwarder_.quotas();
   const std::vector<NameHash> limited = quotas.Limited();
   demand_.Agree(limited, now);
--- a/src/gateway/peers.cc
+++ b/src/gateway/peers.cc
@@ -134,7 +134,7 @@
   const absl::Time now = loop_->now();
   FleetHooks hooks;
   hooks.compose = hooks_.compose;
-  hooks.on_others = hooks_.on_others;
+  hooks.on_peers = hooks_.on_peers;
   hooks.on_zone = hooks_.on_zone;
   hooks.on_host = [this](const HostEntry& host) {
     SetAddress(host.host, host.address);
@@ -182,7 +182,7 @@
                 if (page->more && !page->rows.empty()) {
                   return ReadHosts(0, page->rows.back().key + '\0');
                 }
-                hooks_.on_known(fleet_->known());
+                hooks_.on_host_count(fleet_->known_hosts());
                 LOG(INFO) << "event=hosts-read known=" << addresses_.size();
                 fleet_->StartElection(loop_->now());
               });
@@ -209,7 +209,7 @@
     if (update) return fleet_->OnUpdate(*update, loop_->now());
   } else if (const auto envelope = DecodeEnvelope(bytes)) {
     SetAddress(envelope->host, envelope->address);
-    return hooks_.on_other(envelope->content);
+    return hooks_.on_message(envelope->content);
   }
   ++malformed_;
 }
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -38,13 +38,13 @@
 struct PeersHooks {
   // See FleetHooks.
   std::function<void(FleetNews* own)> compose;
-  std::function<void(const FleetNews& others)> on_others;
+  std::function<void(const FleetNews& others)> on_peers;
   std::function<void(const FleetNews& zone)> on_zone;
   // Called with messages of other components of the peers.
-  std::function<void(std::string_view bytes)> on_other;
+  std::function<void(std::string_view bytes)> on_message;
   // Called with the number of known hosts, including this one, once the table
   // has been read.
-  std::function<void(int hosts)> on_known;
+  std::function<void(int hosts)> on_host_count;
   // Called after each period.
   std::function<void(absl::Time now)> on_tick;
 };
--- a/src/gateway/silent_table_test.cc
+++ b/src/gateway/silent_table_test.cc
@@ -61,11 +61,11 @@
       update.sender.host = "h" + std::to_string(from);
       update.period_ms = 250;
       update.tables = {
-          {HashName("t"), followers_[from]->Known(), followers_[from]->up()}};
+          {HashName("t"), followers_[from]->History(), followers_[from]->up()}};
       for (std::size_t to = 0; to < followers_.size(); ++to) {
         if (to == from || to == table.cut || from == table.cut) continue;
         elections_[to]->RecordUpdate(update, now);
-        followers_[to]->HeardOf(update.tables[0].known);
+        followers_[to]->HeardOf(update.tables[0].history);
       }
     }
     for (std::size_t i = 0; i < followers_.size(); ++i) {
--- a/src/gateway/table_follower.cc
+++ b/src/gateway/table_follower.cc
@@ -151,7 +151,7 @@
   const bool doubtful =
       watching_ || !up_ || heard_of_ > version_ || mode_ == Following::kProbing;
   follow_wait_ = doubtful ? options_.short_wait : options_.wait;
-  port_.follow(
+  port_.poll_changes(
       options_.table, version_, follow_wait_,
       Guard([this](TableAnswer answer) { TakeChanges(std::move(answer)); }));
 }
@@ -229,7 +229,7 @@
   behind_since_ = absl::InfiniteFuture();
 }
 
-absl::Duration TableFollower::Behind() const {
+absl::Duration TableFollower::Lag() const {
   return std::max(absl::ZeroDuration(), clock_() - behind_since_);
 }
 
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_follower.h
@@ -59,7 +59,7 @@
   // change.
   std::function<void(const std::string& table, std::uint64_t since,
                      absl::Duration wait, TableDone done)>
-      follow;
+      poll_changes;
   // Sets a row unconditionally. False means that the write may have failed.
   std::function<void(const std::string& table, const std::string& key,
                      const std::string& value, std::function<void(bool)> done)>
@@ -164,9 +164,9 @@
   const std::string& table() const { return options_.table; }
   bool up() const { return up_; }
   // Returns whether this host receives changes from the service itself.
-  bool follows() const { return !idle_ && up_; }
+  bool subscribed() const { return !idle_ && up_; }
   // Returns the history that this host publishes to its peers.
-  TableKnowledge Known() const {
+  TableKnowledge History() const {
     return {newest_change_, copy_.since(), version_};
   }
   std::uint64_t newest_change() const { return newest_change_; }
@@ -174,7 +174,7 @@
   bool complete() const { return complete_; }
   std::uint64_t version() const { return version_; }
   // Returns how long this host has lacked a change that a peer has.
-  absl::Duration Behind() const;
+  absl::Duration Lag() const;
 
  private:
   void Read(const std::string& from);
--- a/src/gateway/table_follower_test.cc
+++ b/src/gateway/table_follower_test.cc
@@ -22,8 +22,8 @@
                        TableDone done) {
       calls.push_back({from, 0, false, std::move(done)});
     };
-    port.follow = [this](const std::string&, std::uint64_t since,
-                         absl::Duration wait, TableDone done) {
+    port.poll_changes = [this](const std::string&, std::uint64_t since,
+                               absl::Duration wait, TableDone done) {
       calls.push_back({"", since, true, std::move(done), wait});
     };
     return port;
@@ -317,7 +317,7 @@
   BOOST_TEST(tries <= 12);
   Pass(absl::Seconds(15));
   table.Next().done(Changed("b", 12));
-  BOOST_TEST(follower.follows());
+  BOOST_TEST(follower.subscribed());
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 12u);
 }
--- a/src/gateway/table_sharing.cc
+++ b/src/gateway/table_sharing.cc
@@ -63,8 +63,8 @@
   for (const TableFollower* follower : followers_) {
     TableNews update;
     update.table = HashName(follower->table());
-    update.known = follower->Known();
-    update.up = follower->follows();
+    update.history = follower->History();
+    update.up = follower->subscribed();
     tables.push_back(update);
   }
   return tables;
@@ -76,7 +76,7 @@
   for (const TableNews& table : others.tables) {
     for (TableFollower* follower : followers_) {
       if (!IsOf(*follower, table.table)) continue;
-      follower->HeardOf(table.known);
+      follower->HeardOf(table.history);
     }
   }
 }
@@ -90,7 +90,7 @@
     if (!IsOf(*follower, changes.table)) continue;
     const bool changed = follower->TakeHandedOn(changes.since, changes.page);
     // The service refused this host, and may refuse others of its zone.
-    if (changed && place_.aggregates) hooks_.hand_on(changes);
+    if (changed && place_.is_aggregator) hooks_.hand_on(changes);
   }
 }
 
@@ -100,9 +100,9 @@
     if (!follower->complete() || follower->version() <= query.since) return;
     const std::uint64_t since = follower->AnswerableSince(query.since);
     LOG(INFO) << "event=table-told table=" << follower->table()
-              << " to=" << query.asker << " knows=" << query.since
+              << " to=" << query.requester << " knows=" << query.since
               << " since=" << since << " version=" << follower->version();
-    hooks_.answer(query.asker,
+    hooks_.answer(query.requester,
                   {query.table, since, follower->ChangesSince(since)});
   }
 }
@@ -122,8 +122,8 @@
 Following TableSharing::Choice(const TableFollower& follower,
                                const FleetPlace& place, absl::Time now) const {
   const bool linked = now - others_heard_ <= kUnlinked;
-  if (place.aggregates || !linked) return Following::kAlways;
-  if (IsStandby(place.hosts)) return Following::kStandby;
+  if (place.is_aggregator || !linked) return Following::kAlways;
+  if (IsStandby(place.known_hosts)) return Following::kStandby;
   return OthersFollow(follower) ? Following::kWhenTold : Following::kProbing;
 }
 
@@ -132,11 +132,11 @@
   const bool reaches =
       std::all_of(followers_.begin(), followers_.end(),
                   [](const TableFollower* one) { return one->up(); });
-  const bool watches = place.aggregates && watch_.IsMonitor(reaches, now);
+  const bool watches = place.is_aggregator && watch_.IsMonitor(reaches, now);
   for (TableFollower* follower : followers_) {
     follower->SetWatching(watches);
     follower->SetFollowing(Choice(*follower, place, now),
-                           kProbePerHost * place.hosts);
+                           kProbePerHost * place.known_hosts);
   }
 }
 
--- a/src/gateway/table_sharing.h
+++ b/src/gateway/table_sharing.h
@@ -28,8 +28,8 @@
 
 // This host's role in the fleet, and the size of the fleet.
 struct FleetPlace {
-  bool aggregates = false;  // This host is the aggregator of its zone.
-  int hosts = 1;            // Number of known hosts, including this one.
+  bool is_aggregator = false;  // This host is the aggregator of its zone.
+  int known_hosts = 1;         // Number of known hosts, including this one.
   auto operator<=>(const FleetPlace&) const = default;
 };
 
--- a/src/gateway/table_sharing_test.cc
+++ b/src/gateway/table_sharing_test.cc
@@ -39,7 +39,7 @@
   std::set<std::size_t> Aggregators() {
     std::set<std::size_t> found;
     for (std::size_t i = 0; i < members_.size(); ++i) {
-      if (members_[i].host->fleet->aggregates()) found.insert(i);
+      if (members_[i].host->fleet->is_aggregator()) found.insert(i);
     }
     return found;
   }
@@ -47,7 +47,7 @@
   std::set<std::size_t> WhoFollow() const {
     std::set<std::size_t> found;
     for (std::size_t i = 0; i < members_.size(); ++i) {
-      if (members_[i].follower->follows()) found.insert(i);
+      if (members_[i].follower->subscribed()) found.insert(i);
     }
     return found;
   }
@@ -154,7 +154,8 @@
     Deliver();
     const int hosts = static_cast<int>(members_.size());
     for (Member& member : members_) {
-      member.sharing->Choose({member.host->fleet->aggregates(), hosts}, now());
+      member.sharing->Choose({member.host->fleet->is_aggregator(), hosts},
+                             now());
     }
   }
 
--- a/src/gateway/use_counters.h
+++ b/src/gateway/use_counters.h
@@ -43,9 +43,8 @@
     std::vector<UseGrowth> grown;
     for (const WorkspaceUse& use : uses) {
       WorkspaceUse& before = told_[use.workspace];
-      UseGrowth growth{use.workspace,
-                       Growth(before.let_through, use.let_through),
-                       Growth(before.given_back, use.given_back)};
+      UseGrowth growth{use.workspace, Growth(before.admitted, use.admitted),
+                       Growth(before.refunded, use.refunded)};
       before = use;
       if (first) growth = First(growth, use, counts);
       const bool none = growth.let_through == 0 && growth.given_back == 0;
@@ -59,7 +58,7 @@
                          FirstMessage counts) {
     if (counts == FirstMessage::kAll) return all;
     if (counts == FirstMessage::kNothing) return {use.workspace};
-    return {use.workspace, static_cast<std::uint64_t>(use.unheard)};
+    return {use.workspace, static_cast<std::uint64_t>(use.unreported)};
   }
 
   static std::uint64_t Growth(std::uint64_t before, std::uint64_t now) {
--- a/src/gateway/zone_role.h
+++ b/src/gateway/zone_role.h
@@ -61,14 +61,14 @@
   void Tick(absl::Duration period, absl::Time now);
 
   // Returns whether this host is the aggregator.
-  bool aggregates() const { return is_aggregator_; }
+  bool won() const { return is_aggregator_; }
   // Returns the aggregator, or an empty string if none is live.
   const std::string& aggregator() const { return aggregator_; }
   // Returns the host to report to: the aggregator or the expected next one.
   std::string ReportTarget() const;
 
   // Returns the number of known hosts, including this one.
-  int known() const { return static_cast<int>(known_.size()) + 1; }
+  int known_hosts() const { return static_cast<int>(known_.size()) + 1; }
   const HostEntry& self() const { return self_; }
   // Returns null if the host is unknown.
   const HostEntry* Find(const std::string& host) const;
