--- a/src/gateway/aggregate.cc
+++ b/src/gateway/aggregate.cc
@@ -25,14 +25,14 @@
 // returns sends an update itself.
 constexpr absl::Duration kRecipientTimeout = absl::Seconds(5);
 
-absl::Duration PeriodOf(const FleetNews& update) {
+absl::Duration PeriodOf(const FleetUpdate& update) {
   return absl::Milliseconds(update.period_ms);
 }
 
 // Returns the history that two hosts have together. If changes may lie between
 // the two histories, this is the later one alone.
-TableKnowledge Join(const TableKnowledge& a, const TableKnowledge& b) {
-  TableKnowledge joined = a.version < b.version ? b : a;
+TableHistory Join(const TableHistory& a, const TableHistory& b) {
+  TableHistory joined = a.version < b.version ? b : a;
   joined.newest_change = std::max(a.newest_change, b.newest_change);
   if (a.since <= b.version && b.since <= a.version) {
     joined.since = std::min(a.since, b.since);
@@ -42,9 +42,9 @@
 
 }  // namespace
 
-void Aggregate::Sums::AddTable(const TableNews& table) {
+void Aggregate::Sums::AddTable(const TableState& table) {
   const auto [found, first] = tables.try_emplace(table.table);
-  TableNews& sum = found->second;
+  TableState& sum = found->second;
   sum.table = table.table;
   sum.history = first ? table.history : Join(sum.history, table.history);
   if (table.up) ++up[table.table];
@@ -68,7 +68,7 @@
   }
 }
 
-void Aggregate::Sums::Add(const FleetNews& update, bool current) {
+void Aggregate::Sums::Add(const FleetUpdate& update, bool current) {
   hosts += update.hosts;
   for (const WorkspaceUse& use : update.workspaces) {
     WorkspaceUse& sum = workspaces[use.workspace];
@@ -78,19 +78,19 @@
     sum.share += use.share;
     sum.shares = static_cast<std::uint16_t>(sum.shares + use.shares);
   }
-  for (const TableNews& table : update.tables) AddTable(table);
+  for (const TableState& table : update.tables) AddTable(table);
   AddServers(update.servers);
 }
 
-bool Aggregate::RecordUpdate(const FleetNews& update, absl::Time now) {
+bool Aggregate::RecordUpdate(const FleetUpdate& update, absl::Time now) {
   const bool of_zone = IsOfZone(update);
-  const NewsScope scope = of_zone ? NewsScope::kHost : NewsScope::kZone;
+  const UpdateScope scope = of_zone ? UpdateScope::kHost : UpdateScope::kZone;
   if (update.scope != scope) return false;
   Source& source = sources_[update.sender.host];
   // Drops an update that a newer one has overtaken. Once the source is no
   // longer live it is accepted: a host that restarts after its clock was set
   // back has a lower incarnation, and would be ignored for ever.
-  const bool outdated = PlaceOf(update) <= PlaceOf(source.update);
+  const bool outdated = PositionOf(update) <= PositionOf(source.update);
   if (outdated && IsLive(source, now)) return true;
   // Meanwhile the host may have reported to another aggregator, or used its own
   // share of the limits.
@@ -109,7 +109,7 @@
     add(&total_);
     if (of_zone) add(&zone_total_);
   }
-  FleetNews stored = update;
+  FleetUpdate stored = update;
   if (!update.detailed) {
     stored.servers.swap(source.update.servers);
     stored.dispatchers.swap(source.update.dispatchers);
@@ -120,7 +120,7 @@
   return true;
 }
 
-FirstMessage Aggregate::FirstMessageRule(const FleetNews& update,
+FirstMessage Aggregate::FirstMessageRule(const FleetUpdate& update,
                                          absl::Time now) const {
   if (IsOfZone(update)) return FirstMessage::kUnheard;
   const auto zone = expected_zones_.find(update.sender.zone);
@@ -130,7 +130,7 @@
   return started_since ? FirstMessage::kAll : FirstMessage::kNothing;
 }
 
-void Aggregate::MarkReceived(const FleetNews& update, absl::Time now) {
+void Aggregate::MarkReceived(const FleetUpdate& update, absl::Time now) {
   const bool of_zone = IsOfZone(update);
   Expected& expected = of_zone ? expected_hosts_[update.sender.host]
                                : expected_zones_[update.sender.zone];
@@ -229,8 +229,8 @@
                       zone_dispatchers_.end());
 }
 
-FleetNews Aggregate::Compose(const Sums& sums, const Totals& totals) {
-  FleetNews update;
+FleetUpdate Aggregate::Compose(const Sums& sums, const Totals& totals) {
+  FleetUpdate update;
   update.hosts = static_cast<std::uint16_t>(sums.hosts);
   update.complete = sums.complete;
   for (const auto& [name, use] : sums.workspaces) {
@@ -249,16 +249,16 @@
   return update;
 }
 
-FleetNews Aggregate::ZoneUpdate() const {
-  FleetNews update = Compose(zone_sums_, zone_total_);
-  update.scope = NewsScope::kZone;
+FleetUpdate Aggregate::ZoneUpdate() const {
+  FleetUpdate update = Compose(zone_sums_, zone_total_);
+  update.scope = UpdateScope::kZone;
   update.dispatchers = zone_dispatchers_;
   return update;
 }
 
-FleetNews Aggregate::UpdateForHost(const std::string& host) const {
-  FleetNews update = Compose(sums_, total_);
-  update.scope = NewsScope::kAll;
+FleetUpdate Aggregate::UpdateForHost(const std::string& host) const {
+  FleetUpdate update = Compose(sums_, total_);
+  update.scope = UpdateScope::kAll;
   update.dispatchers = dispatchers_;
   const auto found = sources_.find(host);
   if (found == sources_.end()) return update;
@@ -282,8 +282,8 @@
       use.shares = static_cast<std::uint16_t>(use.shares - own_entry.shares);
     }
   }
-  for (const TableNews& own_entry : own.update.tables) {
-    for (TableNews& table : update.tables) {
+  for (const TableState& own_entry : own.update.tables) {
+    for (TableState& table : update.tables) {
       if (table.table != own_entry.table || !own_entry.up) continue;
       table.up = sums_.up.at(table.table) > 1;
     }
@@ -321,7 +321,7 @@
                                                     absl::Time now) const {
   std::vector<HostEntry> aggregators;
   for (const auto& [name, source] : sources_) {
-    const bool is_aggregator = source.update.scope == NewsScope::kZone;
+    const bool is_aggregator = source.update.scope == UpdateScope::kZone;
     if (!is_aggregator || source.update.sender.zone != zone) continue;
     if (IsLive(source, now)) aggregators.push_back(source.update.sender);
   }
--- a/src/gateway/aggregate.h
+++ b/src/gateway/aggregate.h
@@ -34,7 +34,7 @@
   // Records an update of a host of the zone, the aggregator included, or of
   // another zone's aggregator. Returns false if the scope doesn't fit the
   // sender.
-  bool RecordUpdate(const FleetNews& update, absl::Time now);
+  bool RecordUpdate(const FleetUpdate& update, absl::Time now);
 
   // Adds hosts of the zone and other zones that should send updates. One that
   // is unresponsive for a minute is dropped, but only while more than half of
@@ -48,9 +48,9 @@
   void Merge(absl::Time now);
 
   // Returns the zone's state for the aggregators of other zones.
-  FleetNews ZoneUpdate() const;
+  FleetUpdate ZoneUpdate() const;
   // Returns the state of all peers of one host of the zone.
-  FleetNews UpdateForHost(const std::string& host) const;
+  FleetUpdate UpdateForHost(const std::string& host) const;
 
   // Returns whether to send to a host of the zone: its updates arrive, or it
   // may not know yet that this host is the aggregator.
@@ -69,7 +69,7 @@
   };
   using Totals = std::map<NameHash, Total>;
   struct Source {
-    FleetNews update;
+    FleetUpdate update;
     absl::Time received;
     UseCounters counters;
     Totals contribution;  // This source's part of the totals.
@@ -86,28 +86,29 @@
     bool complete = true;
     std::map<NameHash, WorkspaceUse> workspaces;
     std::map<NameHash, ServerUse> servers;
-    std::map<NameHash, TableNews> tables;
+    std::map<NameHash, TableState> tables;
     std::map<NameHash, int> up;  // Number of sources that reach a table.
-    void Add(const FleetNews& update, bool current);
-    void AddTable(const TableNews& table);
+    void Add(const FleetUpdate& update, bool current);
+    void AddTable(const TableState& table);
     void AddServers(const std::vector<ServerUse>& uses);
     // Number of sources that measured a server's slowdown.
     std::map<NameHash, int> slowdown_sources_;
   };
 
-  bool IsOfZone(const FleetNews& update) const {
+  bool IsOfZone(const FleetUpdate& update) const {
     return update.sender.zone == zone_;
   }
   static bool IsLive(const Source& source, absl::Time now);
   // Returns whether the source is live and, of aggregators of another zone, the
   // best one.
   bool IsCounted(const Source& source, absl::Time now) const;
-  FirstMessage FirstMessageRule(const FleetNews& update, absl::Time now) const;
-  void MarkReceived(const FleetNews& update, absl::Time now);
+  FirstMessage FirstMessageRule(const FleetUpdate& update,
+                                absl::Time now) const;
+  void MarkReceived(const FleetUpdate& update, absl::Time now);
   void DropUnresponsive(absl::Time now);
   bool IsComplete(bool zone_only, absl::Time now) const;
   void ChooseDispatchers();
-  static FleetNews Compose(const Sums& sums, const Totals& totals);
+  static FleetUpdate Compose(const Sums& sums, const Totals& totals);
 
   std::string zone_;
   std::map<std::string, Source> sources_;
--- a/src/gateway/aggregate_test.cc
+++ b/src/gateway/aggregate_test.cc
@@ -7,8 +7,8 @@
 
 const absl::Time now = absl::UnixEpoch() + absl::Hours(1);
 
-FleetNews UpdateOf(const std::string& host) {
-  FleetNews update;
+FleetUpdate UpdateOf(const std::string& host) {
+  FleetUpdate update;
   update.sender = {host, "", "z", 0.5F};
   update.incarnation = 1;
   update.sequence = 9;
@@ -28,7 +28,7 @@
 // Guards against an update that arrives after a newer one and replaces it.
 BOOST_AUTO_TEST_CASE(AnOvertakenMessageIsIgnored) {
   Aggregate aggregate("z");
-  FleetNews newer = UpdateOf("h");
+  FleetUpdate newer = UpdateOf("h");
   newer.sequence = 10;
   newer.servers = {{HashName("s"), 3}};
   aggregate.RecordUpdate(newer, now);
@@ -36,7 +36,7 @@
   aggregate.Merge(now);
   BOOST_TEST(UseOf(aggregate, "s").running == 3);
   // A restarted host starts its sequence anew.
-  FleetNews restarted = UpdateOf("h");
+  FleetUpdate restarted = UpdateOf("h");
   restarted.incarnation = 2;
   restarted.sequence = 1;
   restarted.servers.clear();
@@ -50,7 +50,7 @@
 BOOST_AUTO_TEST_CASE(ServerMeasurementsOfHostsAreMerged) {
   Aggregate aggregate("z");
   aggregate.RecordUpdate(UpdateOf("h1"), now);
-  FleetNews other = UpdateOf("h2");
+  FleetUpdate other = UpdateOf("h2");
   other.servers = {{HashName("s"), 1, 0, 1.5F, 3.5F}};
   aggregate.RecordUpdate(other, now);
   aggregate.Merge(now);
@@ -59,7 +59,7 @@
   BOOST_TEST(UseOf(aggregate, "s").decode_slowdown == 3.0F);
   BOOST_TEST(UseOf(aggregate, "t").decode_slowdown == 0.0F);
   // A host receives its peers' use without its own.
-  const FleetNews peers = aggregate.UpdateForHost("h2");
+  const FleetUpdate peers = aggregate.UpdateForHost("h2");
   BOOST_TEST(peers.hosts == 1);
   BOOST_TEST(peers.servers.front().running + peers.servers.back().running ==
              16);
@@ -80,7 +80,7 @@
 // for a while, which publishes what the host admitted, and then to this one.
 BOOST_AUTO_TEST_CASE(UseReportedToAnotherAggregatorIsNotCountedAgain) {
   Aggregate aggregate("z");
-  FleetNews update = UpdateOf("h");
+  FleetUpdate update = UpdateOf("h");
   const auto record = [&](std::uint64_t let_through, absl::Time at) {
     ++update.sequence;
     update.workspaces = {{HashName("w"), 1, let_through}};
@@ -99,10 +99,10 @@
 BOOST_AUTO_TEST_CASE(DrainingAndSmallHostsDoNotDispatch) {
   Aggregate aggregate("z");
   aggregate.RecordUpdate(UpdateOf("h1"), now);
-  FleetNews draining = UpdateOf("h2");
+  FleetUpdate draining = UpdateOf("h2");
   draining.draining = true;
   aggregate.RecordUpdate(draining, now);
-  FleetNews small = UpdateOf("h3");
+  FleetUpdate small = UpdateOf("h3");
   small.sender.processor = 0.12F;
   aggregate.RecordUpdate(small, now);
   aggregate.Merge(now);
@@ -111,12 +111,12 @@
   BOOST_TEST(dispatchers.front().host == "h1");
 }
 
-TableKnowledge JoinedHistory(const TableKnowledge& a, const TableKnowledge& b) {
+TableHistory JoinedHistory(const TableHistory& a, const TableHistory& b) {
   Aggregate aggregate("z");
-  FleetNews first = UpdateOf("h1");
+  FleetUpdate first = UpdateOf("h1");
   first.tables = {{HashName("t"), a}};
   aggregate.RecordUpdate(first, now);
-  FleetNews other = UpdateOf("h2");
+  FleetUpdate other = UpdateOf("h2");
   other.tables = {{HashName("t"), b}};
   aggregate.RecordUpdate(other, now);
   aggregate.Merge(now);
@@ -126,11 +126,11 @@
 // Guards against removals that a host misses because two histories are joined
 // across a gap that neither host has read.
 BOOST_AUTO_TEST_CASE(TableHistoriesAreJoinedOnlyWithoutGaps) {
-  const TableKnowledge long_known{40, 10, 50};
-  const TableKnowledge read_later{30, 45, 60};
-  const TableKnowledge read_last{30, 55, 60};
-  const TableKnowledge joined{40, 10, 60};
-  const TableKnowledge only_last{40, 55, 60};
+  const TableHistory long_known{40, 10, 50};
+  const TableHistory read_later{30, 45, 60};
+  const TableHistory read_last{30, 55, 60};
+  const TableHistory joined{40, 10, 60};
+  const TableHistory only_last{40, 55, 60};
   BOOST_TEST((JoinedHistory(long_known, read_later) == joined));
   BOOST_TEST((JoinedHistory(read_later, long_known) == joined));
   BOOST_TEST((JoinedHistory(long_known, read_last) == only_last));
--- a/src/gateway/demand.cc
+++ b/src/gateway/demand.cc
@@ -58,7 +58,7 @@
   own_[workspace].given_back += static_cast<std::uint64_t>(tokens);
 }
 
-std::vector<Spent> Demand::Heard(const FleetNews& others, absl::Time now) {
+std::vector<Spent> Demand::Heard(const FleetUpdate& others, absl::Time now) {
   // Another aggregator counts from another start; and while this host was cut
   // off, the others kept to their parts.
   const bool same = others.sender.host == others_.sender.host &&
--- a/src/gateway/demand.h
+++ b/src/gateway/demand.h
@@ -68,7 +68,7 @@
   // heard, one that was just started must not take what may be others' parts.
   void Know(int hosts) { hosts_ = std::max(hosts_, hosts); }
   // What all other hosts do, as the zone's aggregator tells.
-  std::vector<Spent> Heard(const FleetNews& others, absl::Time now);
+  std::vector<Spent> Heard(const FleetUpdate& others, absl::Time now);
 
   // This host's own, to be told to others each period.
   std::vector<WorkspaceUse> Tell(absl::Time now);
@@ -124,7 +124,7 @@
   double PartOfDemand(NameHash workspace) const;
 
   std::map<NameHash, struct Own> own_;
-  FleetNews others_;
+  FleetUpdate others_;
   absl::Time heard_ = absl::InfinitePast();
   UseCounters counters_;
   int hosts_ = 1;
--- a/src/gateway/demand_test.cc
+++ b/src/gateway/demand_test.cc
@@ -37,7 +37,7 @@
     demand.Know(hosts);
   }
 
-  void Take(const FleetNews& others, absl::Time now) {
+  void Take(const FleetUpdate& others, absl::Time now) {
     for (const Spent& spent : demand.Heard(others, now)) {
       quotas.Spend(spent.workspace, spent.tokens, now);
     }
@@ -111,10 +111,10 @@
     for (auto& [name, host] : fleet_.hosts) {
       FakeHost* fake = &fakes_[name];
       fake->Start(Limited(rate_, rate_), hosts_, fleet_.now);
-      host.compose = [this, fake](FleetNews* own) {
+      host.compose = [this, fake](FleetUpdate* own) {
         own->workspaces = fake->demand.Tell(fleet_.now);
       };
-      host.on_others = [this, fake](const FleetNews& others) {
+      host.on_others = [this, fake](const FleetUpdate& others) {
         fake->Take(others, fleet_.now);
       };
     }
@@ -468,7 +468,7 @@
 // and at the other hosts; a caller who comes back would pay twice.
 BOOST_AUTO_TEST_CASE(WhatWasNotSentIsGivenBackEverywhere) {
   Demand demand;
-  FleetNews news;
+  FleetUpdate news;
   news.sender.host = "h";
   news.period_ms = 100;
   news.incarnation = 5;
@@ -497,7 +497,7 @@
   demand.Know(2);
   demand.Agree({workspace_name}, start);
   BOOST_TEST(demand.Tell(start).front().share == 0.5F);
-  FleetNews news;
+  FleetUpdate news;
   news.sender.host = "h";
   news.period_ms = 100;
   demand.Heard(news, start);
@@ -511,7 +511,7 @@
 // not spent again. After its restart everything it tells is new.
 BOOST_AUTO_TEST_CASE(OnlyWhatIsNewIsSpent) {
   Demand demand;
-  FleetNews news;
+  FleetUpdate news;
   news.sender.host = "h";
   news.period_ms = 100;
   news.incarnation = 5;
--- a/src/gateway/fleet.cc
+++ b/src/gateway/fleet.cc
@@ -68,14 +68,15 @@
   hooks_.on_host(host);
 }
 
-void Fleet::FillHeader(FleetNews* update) {
-  if (update->scope != NewsScope::kHost) {
+void Fleet::FillHeader(FleetUpdate* update) {
+  if (update->scope != UpdateScope::kHost) {
     update->age_ms = static_cast<std::uint32_t>(
         absl::ToInt64Milliseconds(last_tick_ - aggregating_since_));
   }
   update->sender = election_.self();
-  update->incarnation =
-      update->scope == NewsScope::kHost ? incarnation_ : aggregate_incarnation_;
+  update->incarnation = update->scope == UpdateScope::kHost
+                            ? incarnation_
+                            : aggregate_incarnation_;
   update->sequence = ++sequence_;
   update->period_ms =
       static_cast<std::uint16_t>(absl::ToInt64Milliseconds(period_));
@@ -89,15 +90,15 @@
                          : election_.Find(election_.aggregator());
 }
 
-FleetNews Fleet::ComposeOwnUpdate() {
-  FleetNews own;
+FleetUpdate Fleet::ComposeOwnUpdate() {
+  FleetUpdate own;
   hooks_.compose(&own);
   own.detailed = true;
   FillHeader(&own);
   return own;
 }
 
-void Fleet::OnUpdate(const FleetNews& update, absl::Time now) {
+void Fleet::OnUpdate(const FleetUpdate& update, absl::Time now) {
   if (update.sender.host == election_.self().host) return;
   AddHost(update.sender);
   if (!update.aggregator.host.empty()) {
@@ -107,14 +108,14 @@
   for (const auto* hosts : {&update.dispatchers, &update.neighbours}) {
     for (const HostEntry& host : *hosts) AddHost(host);
   }
-  if (update.scope == NewsScope::kNone) return;
-  if (update.scope == NewsScope::kAll) return OnPeersUpdate(update, now);
+  if (update.scope == UpdateScope::kNone) return;
+  if (update.scope == UpdateScope::kAll) return OnPeersUpdate(update, now);
   if (!election_.won()) return Refer(update.sender.host, Aggregator());
   if (!aggregate_.RecordUpdate(update, now)) return;
-  if (update.scope == NewsScope::kZone) OnZoneUpdate(update, now);
+  if (update.scope == UpdateScope::kZone) OnZoneUpdate(update, now);
 }
 
-void Fleet::OnZoneUpdate(const FleetNews& update, absl::Time now) {
+void Fleet::OnZoneUpdate(const FleetUpdate& update, absl::Time now) {
   hooks_.on_zone(update);
   // A host that knows no other host of its zone elects itself; name it the
   // better aggregator.
@@ -124,14 +125,14 @@
 
 void Fleet::Refer(const std::string& host, const HostEntry* aggregator) {
   if (aggregator == nullptr || aggregator->host == host) return;
-  FleetNews update;
-  update.scope = NewsScope::kNone;
+  FleetUpdate update;
+  update.scope = UpdateScope::kNone;
   FillHeader(&update);
   update.aggregator = *aggregator;
   hooks_.send(host, update);
 }
 
-void Fleet::OnPeersUpdate(const FleetNews& update, absl::Time now) {
+void Fleet::OnPeersUpdate(const FleetUpdate& update, absl::Time now) {
   if (update.sender.zone != election_.self().zone) return;
   election_.RecordAggregator(update.sender.host,
                              absl::Milliseconds(update.period_ms), now);
@@ -141,9 +142,9 @@
   // Aggregate::RecordUpdate.
   const bool same_sender = peers_sender_ == update.sender.host &&
                            now - peers_received_ <= Believed(period_);
-  if (same_sender && PlaceOf(update) <= peers_position_) return;
+  if (same_sender && PositionOf(update) <= peers_position_) return;
   peers_sender_ = update.sender.host;
-  peers_position_ = PlaceOf(update);
+  peers_position_ = PositionOf(update);
   peers_received_ = now;
   period_ = absl::Milliseconds(update.period_ms);
   if (update.settled) hooks_.on_peers(update);
@@ -208,7 +209,7 @@
 }
 
 void Fleet::PublishToZones(absl::Time now) {
-  FleetNews zone_update = aggregate_.ZoneUpdate();
+  FleetUpdate zone_update = aggregate_.ZoneUpdate();
   zone_update.detailed = true;
   FillHeader(&zone_update);
   const bool settled = IsSettled(now);
@@ -237,7 +238,7 @@
 }
 
 void Fleet::PublishToHosts(absl::Time now) {
-  FleetNews own = aggregate_.UpdateForHost(election_.self().host);
+  FleetUpdate own = aggregate_.UpdateForHost(election_.self().host);
   const absl::Duration interval =
       std::max(kMinDetailsInterval, kDetailsIntervalPerHost * (own.hosts + 1));
   const bool detailed =
@@ -255,7 +256,7 @@
   }
   const bool settled = IsSettled(now);
   for (const std::string& host : Recipients(now)) {
-    FleetNews others = aggregate_.UpdateForHost(host);
+    FleetUpdate others = aggregate_.UpdateForHost(host);
     others.detailed = detailed;
     others.neighbours = neighbours;
     others.settled = settled;
--- a/src/gateway/fleet.h
+++ b/src/gateway/fleet.h
@@ -24,15 +24,15 @@
 
 struct FleetHooks {
   // Fills in the state of this host.
-  std::function<void(FleetNews* own)> compose;
+  std::function<void(FleetUpdate* own)> compose;
   // Called with the merged state of all peers.
-  std::function<void(const FleetNews& others)> on_peers;
+  std::function<void(const FleetUpdate& others)> on_peers;
   // Called on an aggregator with the state of another zone.
-  std::function<void(const FleetNews& zone)> on_zone;
+  std::function<void(const FleetUpdate& zone)> on_zone;
   // Called when a peer becomes known or its entry changes.
   std::function<void(const HostEntry& host)> on_host;
   // Sends an update to a peer.
-  std::function<void(const std::string& host, const FleetNews& update)> send;
+  std::function<void(const std::string& host, const FleetUpdate& update)> send;
 };
 
 // This host's membership of the fleet, the group of all entry hosts.
@@ -49,7 +49,7 @@
   void StartElection(absl::Time now) { election_.Start(now); }
 
   // Handles an update from a peer.
-  void OnUpdate(const FleetNews& update, absl::Time now);
+  void OnUpdate(const FleetUpdate& update, absl::Time now);
 
   // Sends this period's messages. To be called once every Period().
   void Tick(absl::Time now);
@@ -78,13 +78,13 @@
   void PublishToHosts(absl::Time now);
   std::vector<std::string> Recipients(absl::Time now) const;
   // Fills in the fields that every message of this host has.
-  void FillHeader(FleetNews* update);
-  FleetNews ComposeOwnUpdate();
-  void OnPeersUpdate(const FleetNews& update, absl::Time now);
+  void FillHeader(FleetUpdate* update);
+  FleetUpdate ComposeOwnUpdate();
+  void OnPeersUpdate(const FleetUpdate& update, absl::Time now);
   // Refers `host` to `aggregator` by a message, unless `aggregator` is null
   // or `host` itself.
   void Refer(const std::string& host, const HostEntry* aggregator);
-  void OnZoneUpdate(const FleetNews& update, absl::Time now);
+  void OnZoneUpdate(const FleetUpdate& update, absl::Time now);
   // Returns the hosts of a zone to which this aggregator sends its updates.
   std::set<std::string> TargetsInZone(const std::string& zone,
                                       const std::vector<std::string>& hosts,
@@ -103,7 +103,7 @@
   absl::Time aggregating_since_;  // When this host became the aggregator.
   absl::Time last_detailed_ = absl::InfinitePast();
   std::vector<HostEntry> sent_dispatchers_;
-  NewsPlace peers_position_;
+  UpdatePosition peers_position_;
   std::string peers_sender_;
   absl::Time peers_received_ = absl::InfinitePast();
   // Aggregators of other zones, as named by a host there, until they are sent
--- a/src/gateway/fleet_messages.cc
+++ b/src/gateway/fleet_messages.cc
@@ -37,7 +37,7 @@
   ReadList(reader, hosts, [&](HostEntry& host) { Read(reader, host); });
 }
 
-void WriteDetails(WireWriter& writer, const FleetNews& update) {
+void WriteDetails(WireWriter& writer, const FleetUpdate& update) {
   WriteList(writer, update.servers, [&](const ServerUse& use) {
     writer(use.server, use.running, use.ungranted, use.prefill_slowdown,
            use.decode_slowdown);
@@ -46,7 +46,7 @@
   WriteHosts(writer, update.neighbours);
 }
 
-void ReadDetails(WireReader& reader, FleetNews* update) {
+void ReadDetails(WireReader& reader, FleetUpdate* update) {
   ReadList(reader, &update->servers, [&](ServerUse& use) {
     reader(use.server, use.running, use.ungranted, use.prefill_slowdown,
            use.decode_slowdown);
@@ -55,16 +55,16 @@
   ReadHosts(reader, &update->neighbours);
 }
 
-NewsScope ReadScope(WireReader& reader) {
+UpdateScope ReadScope(WireReader& reader) {
   std::uint8_t scope = 0;
   reader(scope);
-  if (scope > static_cast<std::uint8_t>(NewsScope::kNone)) {
+  if (scope > static_cast<std::uint8_t>(UpdateScope::kNone)) {
     throw std::out_of_range("unknown scope");
   }
-  return static_cast<NewsScope>(scope);
+  return static_cast<UpdateScope>(scope);
 }
 
-void ReadUpdate(WireReader& reader, FleetNews* update) {
+void ReadUpdate(WireReader& reader, FleetUpdate* update) {
   update->scope = ReadScope(reader);
   Read(reader, update->sender);
   reader(update->incarnation, update->sequence, update->period_ms,
@@ -73,7 +73,7 @@
     reader(use.workspace, use.tokens_per_second, use.admitted, use.refunded,
            use.share, use.shares, use.unreported);
   });
-  ReadList(reader, &update->tables, [&](TableNews& table) {
+  ReadList(reader, &update->tables, [&](TableState& table) {
     reader(table.table, table.history.newest_change, table.history.since,
            table.history.version, table.up, table.recovery_age_ms);
   });
@@ -127,7 +127,7 @@
   return hash_a != hash_b ? hash_a < hash_b : a.host < b.host;
 }
 
-std::string Encode(const FleetNews& update) {
+std::string Encode(const FleetUpdate& update) {
   std::ostringstream out;
   out << kUpdateMark;
   WireWriter writer(out);
@@ -139,7 +139,7 @@
     writer(use.workspace, use.tokens_per_second, use.admitted, use.refunded,
            use.share, use.shares, use.unreported);
   });
-  WriteList(writer, update.tables, [&](const TableNews& table) {
+  WriteList(writer, update.tables, [&](const TableState& table) {
     writer(table.table, table.history.newest_change, table.history.since,
            table.history.version, table.up, table.recovery_age_ms);
   });
@@ -149,12 +149,12 @@
   return out.str();
 }
 
-bool IsFleetNews(std::string_view bytes) {
+bool IsFleetUpdate(std::string_view bytes) {
   return bytes.starts_with(kUpdateMark);
 }
 
-std::optional<FleetNews> DecodeFleetNews(std::string_view bytes) {
-  return Decode<FleetNews>(kUpdateMark, bytes, ReadUpdate);
+std::optional<FleetUpdate> DecodeFleetUpdate(std::string_view bytes) {
+  return Decode<FleetUpdate>(kUpdateMark, bytes, ReadUpdate);
 }
 
 std::optional<std::string> Encode(const TableChanges& changes) {
--- a/src/gateway/fleet_messages.h
+++ b/src/gateway/fleet_messages.h
@@ -63,17 +63,17 @@
 };
 
 // State of a table's copy on one or several hosts.
-struct TableNews {
+struct TableState {
   NameHash table = 0;
-  TableKnowledge history;
+  TableHistory history;
   bool up = false;  // The table service answers.
   // Time since the service recovered from an outage; below 0: no outage.
   std::int32_t recovery_age_ms = -1;
-  auto operator<=>(const TableNews&) const = default;
+  auto operator<=>(const TableState&) const = default;
 };
 
 // The hosts whose state an update contains.
-enum class NewsScope : std::uint8_t {
+enum class UpdateScope : std::uint8_t {
   kHost,  // The sender; sent to its aggregator.
   kZone,  // All hosts of the sender's zone; sent to aggregators of other zones.
   kAll,   // All hosts except the recipient; sent by its aggregator.
@@ -81,8 +81,8 @@
 };
 
 // State of one or several hosts, sent once per period.
-struct FleetNews {
-  NewsScope scope = NewsScope::kHost;
+struct FleetUpdate {
+  UpdateScope scope = UpdateScope::kHost;
   HostEntry sender;
   std::int64_t incarnation =
       0;                        // Increases when the sender's counters restart.
@@ -93,7 +93,7 @@
   bool complete = true;         // No expected host is missing.
   bool draining = false;        // The sender is about to stop.
   std::vector<WorkspaceUse> workspaces;
-  std::vector<TableNews> tables;
+  std::vector<TableState> tables;
   // False while the sender has not aggregated long enough to have received the
   // state of every host.
   bool settled = true;
@@ -106,24 +106,24 @@
   std::vector<ServerUse> servers;
   std::vector<HostEntry> dispatchers;  // Hosts that may dispatch for groups.
   std::vector<HostEntry> neighbours;   // Some hosts of the sender's zone.
-  bool operator==(const FleetNews&) const = default;
+  bool operator==(const FleetUpdate&) const = default;
 };
 
 // Position of a message among those of its sender. The incarnation decides
 // first.
-struct NewsPlace {
+struct UpdatePosition {
   std::int64_t incarnation = 0;
   std::uint64_t sequence = 0;
-  auto operator<=>(const NewsPlace&) const = default;
+  auto operator<=>(const UpdatePosition&) const = default;
 };
-inline NewsPlace PlaceOf(const FleetNews& update) {
+inline UpdatePosition PositionOf(const FleetUpdate& update) {
   return {update.incarnation, update.sequence};
 }
 
-std::string Encode(const FleetNews& update);
-bool IsFleetNews(std::string_view bytes);
+std::string Encode(const FleetUpdate& update);
+bool IsFleetUpdate(std::string_view bytes);
 // Returns nullopt if the bytes are truncated or not a fleet update.
-std::optional<FleetNews> DecodeFleetNews(std::string_view bytes);
+std::optional<FleetUpdate> DecodeFleetUpdate(std::string_view bytes);
 
 // Maximum length of an encoded TableChanges message; with its envelope it fits
 // into one datagram.
--- a/src/gateway/fleet_messages_test.cc
+++ b/src/gateway/fleet_messages_test.cc
@@ -5,9 +5,9 @@
 namespace gentianlb::gateway {
 namespace {
 
-FleetNews Sample() {
-  FleetNews update;
-  update.scope = NewsScope::kAll;
+FleetUpdate Sample() {
+  FleetUpdate update;
+  update.scope = UpdateScope::kAll;
   update.sender = {"edge-1", "10.0.0.1:7600", "zone", 0.25F};
   update.incarnation = 1'700'000'000'000'000;
   update.sequence = 9;
@@ -38,7 +38,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(DecodingRestoresEncodedMessages) {
-  const auto update = DecodeFleetNews(Encode(Sample()));
+  const auto update = DecodeFleetUpdate(Encode(Sample()));
   BOOST_REQUIRE(update.has_value());
   BOOST_TEST((*update == Sample()));
   const auto changes = DecodeTableChanges(*Encode(SampleChanges()));
@@ -53,12 +53,12 @@
 BOOST_AUTO_TEST_CASE(TruncatedAndForeignMessagesAreRejected) {
   const std::string whole = Encode(Sample());
   for (std::size_t size = 0; size < whole.size(); ++size) {
-    BOOST_TEST(!DecodeFleetNews(whole.substr(0, size)).has_value());
+    BOOST_TEST(!DecodeFleetUpdate(whole.substr(0, size)).has_value());
   }
-  BOOST_TEST(!DecodeFleetNews("GET / HTTP/1.1\r\n\r\n").has_value());
+  BOOST_TEST(!DecodeFleetUpdate("GET / HTTP/1.1\r\n\r\n").has_value());
   std::string long_list = whole;
   for (std::size_t i = 20; i < long_list.size(); ++i) long_list[i] = '\xff';
-  BOOST_TEST(!DecodeFleetNews(long_list).has_value());
+  BOOST_TEST(!DecodeFleetUpdate(long_list).has_value());
   std::string changes = *Encode(SampleChanges());
   for (std::size_t size = 0; size < changes.size(); size += 97) {
     BOOST_TEST(!DecodeTableChanges(changes.substr(0, size)).has_value());
--- a/src/gateway/fleet_site_test.h
+++ b/src/gateway/fleet_site_test.h
@@ -31,11 +31,11 @@
     int side = 0;  // Hosts of different sides are cut off from each other.
     std::int64_t incarnation = 0;
     absl::Duration clock_behind;  // How far its clock is behind `now`.
-    FleetNews others;  // The last update; lists of the last detailed one.
+    FleetUpdate others;  // The last update; lists of the last detailed one.
     absl::Time others_at = absl::InfinitePast();
-    std::function<void(FleetNews* own)> compose;
-    std::function<void(const FleetNews& others)> on_others;
-    std::function<void(const FleetNews& zone)> on_zone;
+    std::function<void(FleetUpdate* own)> compose;
+    std::function<void(const FleetUpdate& others)> on_others;
+    std::function<void(const FleetUpdate& zone)> on_zone;
     int sent = 0;
     std::size_t sent_bytes = 0;
     std::size_t sent_bytes_to_zones = 0;
@@ -65,11 +65,11 @@
   void Start(const std::string& name) {
     Host* host = &hosts.at(name);
     FleetHooks hooks;
-    hooks.compose = [host](FleetNews* own) {
+    hooks.compose = [host](FleetUpdate* own) {
       if (host->compose) host->compose(own);
     };
-    hooks.on_peers = [this, host](const FleetNews& others) {
-      FleetNews latest = others;
+    hooks.on_peers = [this, host](const FleetUpdate& others) {
+      FleetUpdate latest = others;
       if (!latest.detailed) {
         latest.dispatchers = host->others.dispatchers;
         latest.servers = host->others.servers;
@@ -78,17 +78,18 @@
       host->others_at = now;
       if (host->on_others) host->on_others(others);
     };
-    hooks.on_zone = [host](const FleetNews& zone) {
+    hooks.on_zone = [host](const FleetUpdate& zone) {
       if (host->on_zone) host->on_zone(zone);
     };
     hooks.on_host = [](const HostEntry&) {};
-    hooks.send = [this, host](const std::string& to, const FleetNews& update) {
+    hooks.send = [this, host](const std::string& to,
+                              const FleetUpdate& update) {
       Send(host, to, update);
     };
     host->fleet =
         std::make_unique<Fleet>(host->entry, ++host->incarnation,
                                 std::move(hooks), now - host->clock_behind);
-    host->others = FleetNews();
+    host->others = FleetUpdate();
     host->others_at = absl::InfinitePast();
     host->up = true;
     host->frozen = false;
@@ -157,10 +158,10 @@
     absl::Time due;
     std::string to;
     int side;
-    FleetNews update;
+    FleetUpdate update;
   };
 
-  void Send(Host* from, const std::string& to, const FleetNews& update) {
+  void Send(Host* from, const std::string& to, const FleetUpdate& update) {
     const auto found = hosts.find(to);
     if (found == hosts.end() || from->frozen) return;
     ++from->sent;
--- a/src/gateway/fleet_test.cc
+++ b/src/gateway/fleet_test.cc
@@ -34,7 +34,7 @@
   FleetSite site(2);
   site.Add(count, 6);
   for (auto& [name, host] : site.hosts) {
-    host.compose = [](FleetNews* own) {
+    host.compose = [](FleetUpdate* own) {
       for (NameHash i = 0; i < 20; ++i) own->workspaces.push_back({i, 10});
       for (NameHash i = 0; i < 100; ++i) {
         own->servers.push_back({i, 1, 0, 1, 1});
@@ -86,10 +86,10 @@
   std::map<std::string, UseCounters> counters;
   for (auto& [host_name, host] : site.hosts) {
     const std::string name = host_name;
-    host.compose = [&, name](FleetNews* own) {
+    host.compose = [&, name](FleetUpdate* own) {
       own->workspaces = {{kWorkspace, 1, let_through[name]}};
     };
-    host.on_others = [&, name](const FleetNews& others) {
+    host.on_others = [&, name](const FleetUpdate& others) {
       for (const UseGrowth& growth :
            counters[name].Take(others.incarnation, others.workspaces)) {
         counted[name] += growth.let_through;
@@ -162,7 +162,7 @@
   BOOST_TEST(site.CountUninformed(58) == 60 - 1);
   for (FleetSite::Host* host : site.Up()) {
     BOOST_TEST(host->others.hosts == 58);
-    host->on_others = [&](const FleetNews& others) {
+    host->on_others = [&](const FleetUpdate& others) {
       BOOST_TEST(others.hosts >= 58);
       if (!others.detailed) return;
       BOOST_TEST(others.dispatchers.size() + 1 >= dispatchers);
--- a/src/gateway/host.h
+++ b/src/gateway/host.h
@@ -71,8 +71,8 @@
 
   std::optional<Error> Listen();
   std::optional<Error> MeetPeers();
-  void ComposeNews(FleetNews* news);
-  void TakeOthers(const FleetNews& others);
+  void ComposeNews(FleetUpdate* news);
+  void TakeOthers(const FleetUpdate& others);
   void TakeOther(std::string_view bytes);
   // Lets what was heard, or wasn't, come into force.
   void UseNews(absl::Time now);
--- a/src/gateway/host_fleet.cc
+++ b/src/gateway/host_fleet.cc
@@ -26,9 +26,9 @@
   options.address = settings_.peers;
   options.table = platform_.host_table;
   PeersHooks hooks;
-  hooks.compose = [this](FleetNews* update) { ComposeNews(update); };
-  hooks.on_peers = [this](const FleetNews& others) { TakeOthers(others); };
-  hooks.on_zone = [this](const FleetNews& zone) {
+  hooks.compose = [this](FleetUpdate* update) { ComposeNews(update); };
+  hooks.on_peers = [this](const FleetUpdate& others) { TakeOthers(others); };
+  hooks.on_zone = [this](const FleetUpdate& zone) {
     sharing_.HeardZone(zone, loop_->now());
   };
   hooks.on_message = [this](std::string_view bytes) { TakeOther(bytes); };
@@ -41,7 +41,7 @@
   return std::nullopt;
 }
 
-void Host::ComposeNews(FleetNews* update) {
+void Host::ComposeNews(FleetUpdate* update) {
   update->draining = draining_;
   update->servers = forwarder_.Uses();
   update->workspaces = demand_.Tell(loop_->now());
@@ -49,17 +49,17 @@
   // Only an aggregator reports a recovery: another host may have been cut off
   // alone.
   if (!peers_->fleet().is_aggregator()) return;
-  for (TableNews& table : update->tables) {
+  for (TableState& table : update->tables) {
     table.recovery_age_ms = service_return_.ToTell(loop_->now());
   }
 }
 
-void Host::TakeOthers(const FleetNews& others) {
+void Host::TakeOthers(const FleetUpdate& others) {
   const absl::Time now = loop_->now();
   for (const Spent& spent : demand_.Heard(others, now)) {
     forwarder_.quotas().Spend(spent.workspace, spent.tokens, now);
   }
-  for (const TableNews& table : others.tables) {
+  for (const TableState& table : others.tables) {
     service_return_.Heard(table.recovery_age_ms, now);
     directory_.ServiceReturned(service_return_.latest());
   }
--- a/src/gateway/peers.cc
+++ b/src/gateway/peers.cc
@@ -139,7 +139,7 @@
   hooks.on_host = [this](const HostEntry& host) {
     SetAddress(host.host, host.address);
   };
-  hooks.send = [this](const std::string& host, const FleetNews& update) {
+  hooks.send = [this](const std::string& host, const FleetUpdate& update) {
     const auto found = addresses_.find(host);
     if (found == addresses_.end()) return;
     socket_->Send(found->second.ip,
@@ -204,8 +204,8 @@
 }
 
 void Peers::HandleDatagram(std::string_view bytes) {
-  if (IsFleetNews(bytes)) {
-    const auto update = DecodeFleetNews(bytes);
+  if (IsFleetUpdate(bytes)) {
+    const auto update = DecodeFleetUpdate(bytes);
     if (update) return fleet_->OnUpdate(*update, loop_->now());
   } else if (const auto envelope = DecodeEnvelope(bytes)) {
     SetAddress(envelope->host, envelope->address);
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -37,9 +37,9 @@
 
 struct PeersHooks {
   // See FleetHooks.
-  std::function<void(FleetNews* own)> compose;
-  std::function<void(const FleetNews& others)> on_peers;
-  std::function<void(const FleetNews& zone)> on_zone;
+  std::function<void(FleetUpdate* own)> compose;
+  std::function<void(const FleetUpdate& others)> on_peers;
+  std::function<void(const FleetUpdate& zone)> on_zone;
   // Called with messages of other components of the peers.
   std::function<void(std::string_view bytes)> on_message;
   // Called with the number of known hosts, including this one, once the table
--- a/src/gateway/silent_table_test.cc
+++ b/src/gateway/silent_table_test.cc
@@ -57,7 +57,7 @@
  private:
   void PublishStates() {
     for (std::size_t from = 0; from < followers_.size(); ++from) {
-      FleetNews update;
+      FleetUpdate update;
       update.sender.host = "h" + std::to_string(from);
       update.period_ms = 250;
       update.tables = {
--- a/src/gateway/table_follower.cc
+++ b/src/gateway/table_follower.cc
@@ -169,7 +169,7 @@
   if (watching && following_ && follow_wait_ > options_.short_wait) AskAnew();
 }
 
-void TableFollower::HeardOf(const TableKnowledge& known) {
+void TableFollower::HeardOf(const TableHistory& known) {
   // Nothing changed after this host's version. Peers can vouch for that only if
   // they have the history since then: they don't know of removals before they
   // read the table.
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_follower.h
@@ -146,7 +146,7 @@
 
   // Records the history that peers have, and requests changes that this host
   // still lacks after options.behind.
-  void HeardOf(const TableKnowledge& known);
+  void HeardOf(const TableHistory& known);
   // Applies changes after `since` that a peer propagates; 0: all rows. Returns
   // whether the copy is newer than before.
   bool TakeHandedOn(std::uint64_t since, const TablePage& page);
@@ -166,7 +166,7 @@
   // Returns whether this host receives changes from the service itself.
   bool subscribed() const { return !idle_ && up_; }
   // Returns the history that this host publishes to its peers.
-  TableKnowledge History() const {
+  TableHistory History() const {
     return {newest_change_, copy_.since(), version_};
   }
   std::uint64_t newest_change() const { return newest_change_; }
--- a/src/gateway/table_page.h
+++ b/src/gateway/table_page.h
@@ -29,11 +29,11 @@
 // The part of a table's history that a host has: all changes after `since` up
 // to `version`; the last of them is `newest_change`. The host has read the
 // whole table at version `since` and does not know earlier removals.
-struct TableKnowledge {
+struct TableHistory {
   std::uint64_t newest_change = 0;
   std::uint64_t since = 0;
   std::uint64_t version = 0;
-  auto operator<=>(const TableKnowledge&) const = default;
+  auto operator<=>(const TableHistory&) const = default;
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/table_sharing.cc
+++ b/src/gateway/table_sharing.cc
@@ -58,10 +58,10 @@
   }
 }
 
-std::vector<TableNews> TableSharing::Tell() const {
-  std::vector<TableNews> tables;
+std::vector<TableState> TableSharing::Tell() const {
+  std::vector<TableState> tables;
   for (const TableFollower* follower : followers_) {
-    TableNews update;
+    TableState update;
     update.table = HashName(follower->table());
     update.history = follower->History();
     update.up = follower->subscribed();
@@ -70,10 +70,10 @@
   return tables;
 }
 
-void TableSharing::HeardOthers(const FleetNews& others, absl::Time now) {
+void TableSharing::HeardOthers(const FleetUpdate& others, absl::Time now) {
   others_tables_ = others.tables;
   others_heard_ = now;
-  for (const TableNews& table : others.tables) {
+  for (const TableState& table : others.tables) {
     for (TableFollower* follower : followers_) {
       if (!IsOf(*follower, table.table)) continue;
       follower->HeardOf(table.history);
@@ -81,7 +81,7 @@
   }
 }
 
-void TableSharing::HeardZone(const FleetNews& zone, absl::Time now) {
+void TableSharing::HeardZone(const FleetUpdate& zone, absl::Time now) {
   watch_.RecordUpdate(zone, now);
 }
 
@@ -109,7 +109,7 @@
 
 bool TableSharing::OthersFollow(const TableFollower& follower) const {
   return std::any_of(others_tables_.begin(), others_tables_.end(),
-                     [&](const TableNews& table) {
+                     [&](const TableState& table) {
                        return IsOf(follower, table.table) && table.up;
                      });
 }
--- a/src/gateway/table_sharing.h
+++ b/src/gateway/table_sharing.h
@@ -52,11 +52,11 @@
                TableSharingHooks hooks, absl::Time now);
 
   // Returns the state of this host's tables, to be published.
-  std::vector<TableNews> Tell() const;
+  std::vector<TableState> Tell() const;
   // Handles the merged state of all peers.
-  void HeardOthers(const FleetNews& others, absl::Time now);
+  void HeardOthers(const FleetUpdate& others, absl::Time now);
   // Handles another zone's state, if this host is an aggregator.
-  void HeardZone(const FleetNews& zone, absl::Time now);
+  void HeardZone(const FleetUpdate& zone, absl::Time now);
   // Applies changes that a peer propagates or replies with.
   void Take(const TableChanges& changes);
   // Replies to a peer's query, if this host has newer data.
@@ -77,7 +77,7 @@
   const TableSharingHooks hooks_;
   FleetPlace place_;
   TableWatch watch_;
-  std::vector<TableNews> others_tables_;  // Of the last update.
+  std::vector<TableState> others_tables_;  // Of the last update.
   absl::Time others_heard_;
 };
 
--- a/src/gateway/table_sharing_test.cc
+++ b/src/gateway/table_sharing_test.cc
@@ -120,13 +120,13 @@
                 }},
         now());
     TableSharing* sharing = member.sharing.get();
-    host->compose = [sharing](FleetNews* own) {
+    host->compose = [sharing](FleetUpdate* own) {
       own->tables = sharing->Tell();
     };
-    host->on_others = [this, sharing](const FleetNews& others) {
+    host->on_others = [this, sharing](const FleetUpdate& others) {
       sharing->HeardOthers(others, now());
     };
-    host->on_zone = [this, sharing](const FleetNews& zone) {
+    host->on_zone = [this, sharing](const FleetUpdate& zone) {
       sharing->HeardZone(zone, now());
     };
     member.follower->Start();
--- a/src/gateway/table_watch.cc
+++ b/src/gateway/table_watch.cc
@@ -13,10 +13,10 @@
 
 }  // namespace
 
-void TableWatch::RecordUpdate(const FleetNews& update, absl::Time now) {
+void TableWatch::RecordUpdate(const FleetUpdate& update, absl::Time now) {
   const bool reaches =
       std::all_of(update.tables.begin(), update.tables.end(),
-                  [](const TableNews& table) { return table.up; });
+                  [](const TableState& table) { return table.up; });
   peers_[update.sender.host] = {
       now + Believed(absl::Milliseconds(update.period_ms)),
       reaches && !update.tables.empty()};
--- a/src/gateway/table_watch.h
+++ b/src/gateway/table_watch.h
@@ -30,7 +30,7 @@
       : host_(std::move(host)), started_(started) {}
 
   // Records whether the sender, an aggregator, reaches the service.
-  void RecordUpdate(const FleetNews& update, absl::Time now);
+  void RecordUpdate(const FleetUpdate& update, absl::Time now);
 
   // Returns whether this host is the monitor. `reaches` says whether the
   // service answers this host.
--- a/src/gateway/table_watch_test.cc
+++ b/src/gateway/table_watch_test.cc
@@ -9,8 +9,8 @@
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 const std::vector<std::string> hosts = {"h1", "h2", "h3", "h4"};
 
-FleetNews UpdateOf(const std::string& host, bool up) {
-  FleetNews update;
+FleetUpdate UpdateOf(const std::string& host, bool up) {
+  FleetUpdate update;
   update.sender.host = host;
   update.period_ms = 250;
   update.tables = {{HashName("t"), {7, 0, 7}, up}};
