--- a/src/gateway/fake_table_test.h
+++ b/src/gateway/fake_table_test.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "gateway/table_follower.h"
+#include "gateway/table_subscriber.h"
 
 namespace gentianlb::gateway {
 
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -227,7 +227,7 @@
                static_cast<double>(directory_.size()));
   metrics_.Set("gentianlb_ready", "1 when callers may come", {},
                ready() ? 1 : 0);
-  for (const TableFollower* follower : {&configuration_, &servers_}) {
+  for (const TableSubscriber* follower : {&configuration_, &servers_}) {
     const prometheus::Labels table = {{"table", follower->table()}};
     metrics_.Set("gentianlb_table_up", "1 while the table service answers",
                  table, follower->up() ? 1 : 0);
--- a/src/gateway/host.h
+++ b/src/gateway/host.h
@@ -19,8 +19,8 @@
 #include "gateway/messages.h"
 #include "gateway/peers.h"
 #include "gateway/service_return.h"
-#include "gateway/table_follower.h"
 #include "gateway/table_sharing.h"
+#include "gateway/table_subscriber.h"
 #include "http/server.h"
 #include "log/bounded_log.h"
 #include "loop/event_loop.h"
@@ -102,8 +102,8 @@
   Forwarder forwarder_;
   GroupLink groups_;
   EarlyRequests early_;
-  TableFollower configuration_;
-  TableFollower servers_;
+  TableSubscriber configuration_;
+  TableSubscriber servers_;
   TableSharing sharing_;
   ServiceReturn service_return_;
   std::unique_ptr<Peers> peers_;
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -20,7 +20,7 @@
 #include "base/ids.h"
 #include "base/result.h"
 #include "gateway/fleet.h"
-#include "gateway/table_follower.h"
+#include "gateway/table_subscriber.h"
 #include "loop/datagram_socket.h"
 #include "loop/event_loop.h"
 #include "settings/units.h"
--- a/src/gateway/silent_table_test.cc
+++ b/src/gateway/silent_table_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "gateway/fake_table_test.h"
-#include "gateway/table_follower.h"
+#include "gateway/table_subscriber.h"
 #include "gateway/table_watch.h"
 
 namespace gentianlb::gateway {
@@ -23,8 +23,8 @@
     for (std::size_t i = 0; i < count; ++i) {
       const std::string name = "h" + std::to_string(i);
       elections_.push_back(std::make_unique<TableWatch>(name, now));
-      followers_.push_back(std::make_unique<TableFollower>(
-          TableFollowerOptions{.table = "t"}, table.PortFor(i), &timers,
+      followers_.push_back(std::make_unique<TableSubscriber>(
+          TableSubscriberOptions{.table = "t"}, table.PortFor(i), &timers,
           [this] { return now; }, i + 1,
           [](const std::vector<TableRow>&, bool, absl::Time) {},
           [](bool, absl::Time) {}));
@@ -65,17 +65,17 @@
       for (std::size_t to = 0; to < followers_.size(); ++to) {
         if (to == from || to == table.cut || from == table.cut) continue;
         elections_[to]->RecordUpdate(update, now);
-        followers_[to]->HeardOf(update.tables[0].history);
+        followers_[to]->RecordPeerHistory(update.tables[0].history);
       }
     }
     for (std::size_t i = 0; i < followers_.size(); ++i) {
-      followers_[i]->SetWatching(
+      followers_[i]->SetMonitoring(
           elections_[i]->IsMonitor(followers_[i]->up(), now));
     }
   }
 
   std::vector<std::unique_ptr<TableWatch>> elections_;
-  std::vector<std::unique_ptr<TableFollower>> followers_;
+  std::vector<std::unique_ptr<TableSubscriber>> followers_;
 };
 
 // Times at which a waiting call has just begun, is in the middle of its wait,
--- a/src/gateway/table_sharing.cc
+++ b/src/gateway/table_sharing.cc
@@ -28,39 +28,38 @@
   return HashName(host) / kHashes;
 }
 
-bool IsOf(const TableFollower& follower, NameHash table) {
+bool IsOf(const TableSubscriber& follower, NameHash table) {
   return table == HashName(follower.table());
 }
 
 }  // namespace
 
 TableSharing::TableSharing(std::string host,
-                           std::vector<TableFollower*> followers,
+                           std::vector<TableSubscriber*> followers,
                            TableSharingHooks hooks, absl::Time now)
     : rank_(RankOf(host)),
       followers_(std::move(followers)),
       hooks_(std::move(hooks)),
       watch_(host, now),
       others_heard_(now) {
-  for (TableFollower* follower : followers_) {
+  for (TableSubscriber* follower : followers_) {
     // The mode is set before the first change matters; no probe comes earlier.
-    follower->SetFollowing(Following::kWhenTold,
-                           /*probe_period=*/absl::InfiniteDuration());
+    follower->SetMode(SubscriptionMode::kPassive,
+                      /*probe_period=*/absl::InfiniteDuration());
     const NameHash table = HashName(follower->table());
-    follower->HandOnTo(
+    follower->SetOnChanges(
         [this, table](std::uint64_t since, const TablePage& page) {
           hooks_.hand_on({table, since, page});
         });
-    follower->AskOthersWith(
-        [this, host, table](std::uint64_t since, int tries) {
-          hooks_.ask({host, table, since}, tries);
-        });
+    follower->SetOnMissing([this, host, table](std::uint64_t since, int tries) {
+      hooks_.ask({host, table, since}, tries);
+    });
   }
 }
 
 std::vector<TableState> TableSharing::Tell() const {
   std::vector<TableState> tables;
-  for (const TableFollower* follower : followers_) {
+  for (const TableSubscriber* follower : followers_) {
     TableState update;
     update.table = HashName(follower->table());
     update.history = follower->History();
@@ -74,9 +73,9 @@
   others_tables_ = others.tables;
   others_heard_ = now;
   for (const TableState& table : others.tables) {
-    for (TableFollower* follower : followers_) {
+    for (TableSubscriber* follower : followers_) {
       if (!IsOf(*follower, table.table)) continue;
-      follower->HeardOf(table.history);
+      follower->RecordPeerHistory(table.history);
     }
   }
 }
@@ -86,19 +85,19 @@
 }
 
 void TableSharing::Take(const TableChanges& changes) {
-  for (TableFollower* follower : followers_) {
+  for (TableSubscriber* follower : followers_) {
     if (!IsOf(*follower, changes.table)) continue;
-    const bool changed = follower->TakeHandedOn(changes.since, changes.page);
+    const bool changed = follower->ApplyPropagated(changes.since, changes.page);
     // The service refused this host, and may refuse others of its zone.
     if (changed && place_.is_aggregator) hooks_.hand_on(changes);
   }
 }
 
 void TableSharing::Take(const TableQuestion& query) {
-  for (const TableFollower* follower : followers_) {
+  for (const TableSubscriber* follower : followers_) {
     if (!IsOf(*follower, query.table)) continue;
     if (!follower->complete() || follower->version() <= query.since) return;
-    const std::uint64_t since = follower->AnswerableSince(query.since);
+    const std::uint64_t since = follower->ReplySince(query.since);
     LOG(INFO) << "event=table-told table=" << follower->table()
               << " to=" << query.requester << " knows=" << query.since
               << " since=" << since << " version=" << follower->version();
@@ -107,7 +106,7 @@
   }
 }
 
-bool TableSharing::OthersFollow(const TableFollower& follower) const {
+bool TableSharing::OthersFollow(const TableSubscriber& follower) const {
   return std::any_of(others_tables_.begin(), others_tables_.end(),
                      [&](const TableState& table) {
                        return IsOf(follower, table.table) && table.up;
@@ -119,24 +118,26 @@
   return hosts > 1 && rank_ * hosts < kStandbys;
 }
 
-Following TableSharing::Choice(const TableFollower& follower,
-                               const FleetPlace& place, absl::Time now) const {
+SubscriptionMode TableSharing::Choice(const TableSubscriber& follower,
+                                      const FleetPlace& place,
+                                      absl::Time now) const {
   const bool linked = now - others_heard_ <= kUnlinked;
-  if (place.is_aggregator || !linked) return Following::kAlways;
-  if (IsStandby(place.known_hosts)) return Following::kStandby;
-  return OthersFollow(follower) ? Following::kWhenTold : Following::kProbing;
+  if (place.is_aggregator || !linked) return SubscriptionMode::kAlways;
+  if (IsStandby(place.known_hosts)) return SubscriptionMode::kStandby;
+  return OthersFollow(follower) ? SubscriptionMode::kPassive
+                                : SubscriptionMode::kProbing;
 }
 
 void TableSharing::Choose(const FleetPlace& place, absl::Time now) {
   place_ = place;
   const bool reaches =
       std::all_of(followers_.begin(), followers_.end(),
-                  [](const TableFollower* one) { return one->up(); });
+                  [](const TableSubscriber* one) { return one->up(); });
   const bool watches = place.is_aggregator && watch_.IsMonitor(reaches, now);
-  for (TableFollower* follower : followers_) {
-    follower->SetWatching(watches);
-    follower->SetFollowing(Choice(*follower, place, now),
-                           kProbePerHost * place.known_hosts);
+  for (TableSubscriber* follower : followers_) {
+    follower->SetMonitoring(watches);
+    follower->SetMode(Choice(*follower, place, now),
+                      kProbePerHost * place.known_hosts);
   }
 }
 
--- a/src/gateway/table_sharing.h
+++ b/src/gateway/table_sharing.h
@@ -21,7 +21,7 @@
 
 #include "absl/time/time.h"
 #include "gateway/fleet_messages.h"
-#include "gateway/table_follower.h"
+#include "gateway/table_subscriber.h"
 #include "gateway/table_watch.h"
 
 namespace gentianlb::gateway {
@@ -48,7 +48,7 @@
 class TableSharing {
  public:
   // `followers` must outlive this object.
-  TableSharing(std::string host, std::vector<TableFollower*> followers,
+  TableSharing(std::string host, std::vector<TableSubscriber*> followers,
                TableSharingHooks hooks, absl::Time now);
 
   // Returns the state of this host's tables, to be published.
@@ -66,14 +66,14 @@
   void Choose(const FleetPlace& place, absl::Time now);
 
  private:
-  bool OthersFollow(const TableFollower& follower) const;
-  Following Choice(const TableFollower& follower, const FleetPlace& place,
-                   absl::Time now) const;
+  bool OthersFollow(const TableSubscriber& follower) const;
+  SubscriptionMode Choice(const TableSubscriber& follower,
+                          const FleetPlace& place, absl::Time now) const;
   // Returns whether this host is a standby in a fleet of `hosts` hosts.
   bool IsStandby(int hosts) const;
 
   const double rank_;  // Hash of this host's name, from 0 to below 1.
-  const std::vector<TableFollower*> followers_;
+  const std::vector<TableSubscriber*> followers_;
   const TableSharingHooks hooks_;
   FleetPlace place_;
   TableWatch watch_;
--- a/src/gateway/table_sharing_test.cc
+++ b/src/gateway/table_sharing_test.cc
@@ -85,7 +85,7 @@
  private:
   struct Member {
     FleetSite::Host* host = nullptr;
-    std::unique_ptr<TableFollower> follower;
+    std::unique_ptr<TableSubscriber> follower;
     std::unique_ptr<TableSharing> sharing;
   };
 
@@ -95,15 +95,15 @@
     const std::string name = FleetSite::Name(number);
     Member member;
     member.host = &fleet_.hosts.at(name);
-    member.follower = std::make_unique<TableFollower>(
-        TableFollowerOptions{.table = "t"},
+    member.follower = std::make_unique<TableSubscriber>(
+        TableSubscriberOptions{.table = "t"},
         table.PortFor(static_cast<std::size_t>(number)), &timers_,
         [this] { return now(); }, fleet_.random(),
         [](const std::vector<TableRow>&, bool, absl::Time) {},
         [](bool, absl::Time) {});
     FleetSite::Host* host = member.host;
     member.sharing = std::make_unique<TableSharing>(
-        name, std::vector<TableFollower*>{member.follower.get()},
+        name, std::vector<TableSubscriber*>{member.follower.get()},
         TableSharingHooks{
             .hand_on =
                 [this, host](const TableChanges& changes) {
--- a/src/gateway/table_follower.cc
+++ b/src/gateway/table_subscriber.cc
@@ -1,4 +1,4 @@
-#include "gateway/table_follower.h"
+#include "gateway/table_subscriber.h"
 
 #include <glog/logging.h>
 
@@ -9,25 +9,25 @@
 
 namespace gentianlb::gateway {
 
-std::string_view NameOf(Following following) {
+std::string_view NameOf(SubscriptionMode following) {
   switch (following) {
-    case Following::kAlways:
+    case SubscriptionMode::kAlways:
       return "always";
-    case Following::kStandby:
+    case SubscriptionMode::kStandby:
       return "standby";
-    case Following::kWhenTold:
+    case SubscriptionMode::kPassive:
       return "when-told";
-    case Following::kProbing:
+    case SubscriptionMode::kProbing:
       return "probing";
   }
   return "unknown";
 }
 
-TableFollower::TableFollower(TableFollowerOptions options, TablePort port,
-                             TimerService* timers,
-                             std::function<absl::Time()> clock,
-                             std::uint64_t seed, OnRows on_rows,
-                             OnState on_state)
+TableSubscriber::TableSubscriber(TableSubscriberOptions options, TablePort port,
+                                 TimerService* timers,
+                                 std::function<absl::Time()> clock,
+                                 std::uint64_t seed, OnRows on_rows,
+                                 OnState on_state)
     : options_(std::move(options)),
       port_(std::move(port)),
       timers_(timers),
@@ -36,28 +36,28 @@
       on_state_(std::move(on_state)),
       random_(seed) {}
 
-TableFollower::~TableFollower() {
+TableSubscriber::~TableSubscriber() {
   timers_->Cancel(retry_);
   timers_->Cancel(behind_);
 }
 
-void TableFollower::Start() { Read(""); }
+void TableSubscriber::Start() { Read(""); }
 
-TableDone TableFollower::Guard(std::function<void(TableAnswer)> done) {
+TableDone TableSubscriber::Guard(std::function<void(TableAnswer)> done) {
   return [this, alive = std::weak_ptr<int>(alive_), call = ++call_,
           done = std::move(done)](TableAnswer answer) {
     if (alive.lock() != nullptr && call == call_) done(std::move(answer));
   };
 }
 
-void TableFollower::Read(const std::string& from) {
+void TableSubscriber::Read(const std::string& from) {
   if (from.empty()) rows_.clear();
   port_.read(options_.table, from, Guard([this, from](TableAnswer answer) {
                TakeRead(from, std::move(answer));
              }));
 }
 
-void TableFollower::TakeRead(const std::string& from, TableAnswer answer) {
+void TableSubscriber::TakeRead(const std::string& from, TableAnswer answer) {
   if (const auto* failure = std::get_if<TableFailure>(&answer)) {
     Failed(*failure);
     return Again([this, from] { Read(from); });
@@ -83,8 +83,8 @@
   GoOn();
 }
 
-void TableFollower::TakeWhole(const std::vector<TableRow>& rows,
-                              std::uint64_t version) {
+void TableSubscriber::TakeWhole(const std::vector<TableRow>& rows,
+                                std::uint64_t version) {
   version_ = version;
   complete_ = true;
   copy_.Replace(rows, version);
@@ -93,18 +93,18 @@
   on_rows_(rows, /*whole=*/true, clock_());
 }
 
-bool TableFollower::MayFollow() const {
+bool TableSubscriber::MayFollow() const {
   return FollowsAlways() || heard_of_ > version_ ||
-         (mode_ == Following::kProbing && probe_answered_);
+         (mode_ == SubscriptionMode::kProbing && probe_answered_);
 }
 
-void TableFollower::GoOn() {
+void TableSubscriber::GoOn() {
   if (MayFollow()) return FollowSoon();
   idle_ = true;
-  if (mode_ == Following::kProbing) ProbeLater();
+  if (mode_ == SubscriptionMode::kProbing) ProbeLater();
 }
 
-absl::Duration TableFollower::UntilProbe() {
+absl::Duration TableSubscriber::UntilProbe() {
   // Hosts that lost the service together must not all probe at once. The first
   // probes spread over the whole period, because with many hosts half a period
   // without any probe would be seconds.
@@ -114,13 +114,13 @@
   return draw * probe_period_;
 }
 
-void TableFollower::ProbeLater() {
+void TableSubscriber::ProbeLater() {
   retry_ =
       timers_->At(clock_() + UntilProbe(), [this](absl::Time) { Follow(); });
 }
 
-void TableFollower::SetFollowing(Following following,
-                                 absl::Duration probe_period) {
+void TableSubscriber::SetMode(SubscriptionMode following,
+                              absl::Duration probe_period) {
   probe_period_ = probe_period;
   if (mode_ == following) return;
   LOG(INFO) << "event=following table=" << options_.table
@@ -134,42 +134,42 @@
   GoOn();
 }
 
-void TableFollower::FollowSoon() {
+void TableSubscriber::FollowSoon() {
   idle_ = false;
-  const absl::Time due =
-      followed_ + (mode_ == Following::kStandby ? options_.standby_interval
-                                                : options_.interval);
+  const absl::Time due = followed_ + (mode_ == SubscriptionMode::kStandby
+                                          ? options_.standby_interval
+                                          : options_.interval);
   if (due <= clock_()) return Follow();
   retry_ = timers_->At(due, [this](absl::Time) { Follow(); });
 }
 
-void TableFollower::Follow() {
+void TableSubscriber::Follow() {
   timers_->Cancel(retry_);
   followed_ = clock_();
   following_ = true;
   idle_ = false;
-  const bool doubtful =
-      watching_ || !up_ || heard_of_ > version_ || mode_ == Following::kProbing;
+  const bool doubtful = watching_ || !up_ || heard_of_ > version_ ||
+                        mode_ == SubscriptionMode::kProbing;
   follow_wait_ = doubtful ? options_.short_wait : options_.wait;
   port_.poll_changes(
       options_.table, version_, follow_wait_,
       Guard([this](TableAnswer answer) { TakeChanges(std::move(answer)); }));
 }
 
-void TableFollower::AskAnew() {
+void TableSubscriber::AskAnew() {
   LOG(INFO) << "event=table-asked-anew table=" << options_.table
             << " version=" << version_ << " heard_of=" << heard_of_
             << " watching=" << watching_;
   Follow();
 }
 
-void TableFollower::SetWatching(bool watching) {
+void TableSubscriber::SetMonitoring(bool watching) {
   if (watching_ == watching) return;
   watching_ = watching;
   if (watching && following_ && follow_wait_ > options_.short_wait) AskAnew();
 }
 
-void TableFollower::HeardOf(const TableHistory& known) {
+void TableSubscriber::RecordPeerHistory(const TableHistory& known) {
   // Nothing changed after this host's version. Peers can vouch for that only if
   // they have the history since then: they don't know of removals before they
   // read the table.
@@ -189,7 +189,8 @@
   });
 }
 
-bool TableFollower::TakeHandedOn(std::uint64_t since, const TablePage& page) {
+bool TableSubscriber::ApplyPropagated(std::uint64_t since,
+                                      const TablePage& page) {
   if (complete_ && page.version <= version_) return false;
   if (since == 0) {
     TakeWhole(page.rows, page.version);
@@ -199,7 +200,7 @@
   if (since > version_) {
     // An earlier message was lost.
     for (const TableRow& row : page.rows) {
-      HeardOf({row.version, /*since=*/since, page.version});
+      RecordPeerHistory({row.version, /*since=*/since, page.version});
     }
     return false;
   }
@@ -207,12 +208,12 @@
   return true;
 }
 
-void TableFollower::AskOthers() {
-  if (!Lacks() || !on_lacking_) return;
-  on_lacking_(complete_ ? version_ : 0, asked_others_++);
+void TableSubscriber::AskOthers() {
+  if (!Lacks() || !on_missing_) return;
+  on_missing_(complete_ ? version_ : 0, asked_others_++);
 }
 
-void TableFollower::NoteBehind() {
+void TableSubscriber::NoteBehind() {
   if (behind_since_ != absl::InfiniteFuture()) return;
   behind_since_ = clock_();
   LOG(INFO) << "event=table-behind table=" << options_.table
@@ -220,7 +221,7 @@
             << " how=" << NameOf(mode_) << " up=" << up_;
 }
 
-void TableFollower::NoteCaughtUp() {
+void TableSubscriber::NoteCaughtUp() {
   if (!Lacks()) asked_others_ = 0;
   if (behind_since_ == absl::InfiniteFuture() || version_ < heard_of_) return;
   LOG(INFO) << "event=table-caught-up table=" << options_.table
@@ -229,11 +230,11 @@
   behind_since_ = absl::InfiniteFuture();
 }
 
-absl::Duration TableFollower::Lag() const {
+absl::Duration TableSubscriber::Lag() const {
   return std::max(absl::ZeroDuration(), clock_() - behind_since_);
 }
 
-void TableFollower::Apply(const TablePage& page) {
+void TableSubscriber::Apply(const TablePage& page) {
   version_ = page.version;
   copy_.Apply(page.rows, page.version);
   NoteCaughtUp();
@@ -241,13 +242,13 @@
   if (!page.rows.empty()) on_rows_(page.rows, /*whole=*/false, clock_());
 }
 
-void TableFollower::NoteVersions(const std::vector<TableRow>& rows) {
+void TableSubscriber::NoteVersions(const std::vector<TableRow>& rows) {
   for (const TableRow& row : rows) {
     newest_change_ = std::max(newest_change_, row.version);
   }
 }
 
-void TableFollower::TakeChanges(TableAnswer answer) {
+void TableSubscriber::TakeChanges(TableAnswer answer) {
   following_ = false;
   if (const auto* failure = std::get_if<TableFailure>(&answer)) {
     if (*failure == TableFailure::kHistoryGone) {
@@ -271,7 +272,7 @@
   GoOn();
 }
 
-void TableFollower::Failed(TableFailure /*failure*/) {
+void TableSubscriber::Failed(TableFailure /*failure*/) {
   ++failures_;
   probe_answered_ = false;
   AskOthers();
@@ -282,7 +283,7 @@
   on_state_(false, clock_());
 }
 
-void TableFollower::Answered() {
+void TableSubscriber::Answered() {
   failures_ = 0;
   probe_answered_ = true;
   if (up_) return;
@@ -292,7 +293,7 @@
   on_state_(true, clock_());
 }
 
-void TableFollower::Again(std::function<void()> call) {
+void TableSubscriber::Again(std::function<void()> call) {
   constexpr double kSteps = 1 << 20;
   const double draw = static_cast<double>(random_() % (1 << 20)) / kSteps;
   const absl::Duration delay = RetryDelay(options_.retry, failures_, draw);
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_subscriber.h
@@ -21,8 +21,8 @@
 // The service may refuse one host while it answers others. So a host queries
 // peers too for data that it lacks.
 
-#ifndef GENTIANLB_GATEWAY_TABLE_FOLLOWER_H_
-#define GENTIANLB_GATEWAY_TABLE_FOLLOWER_H_
+#ifndef GENTIANLB_GATEWAY_TABLE_SUBSCRIBER_H_
+#define GENTIANLB_GATEWAY_TABLE_SUBSCRIBER_H_
 
 #include <cstdint>
 #include <functional>
@@ -66,7 +66,7 @@
       write;
 };
 
-struct TableFollowerOptions {
+struct TableSubscriberOptions {
   std::string table;
   // How long a call waits for a change: as long as the service allows, since
   // each call costs it as much as a read. Probes of the connection detect a
@@ -91,23 +91,23 @@
 };
 
 // How a host subscribes to a table.
-enum class Following {
+enum class SubscriptionMode {
   kAlways,  // A call to the service always waits for changes.
   // The same with a longer interval between calls, as peers normally propagate
   // the changes.
   kStandby,
   // Peers propagate the changes. The host calls the service only for changes
   // that did not arrive.
-  kWhenTold,
+  kPassive,
   // No live peer reaches the service. Each host probes it at random intervals,
   // and polls for its peers once it is answered.
   kProbing,
 };
 
-std::string_view NameOf(Following following);
+std::string_view NameOf(SubscriptionMode following);
 
 // Keeps a copy of one table and reports its changes to the owner.
-class TableFollower {
+class TableSubscriber {
  public:
   // Called with changed rows, or if `whole` with all rows of the table.
   using OnRows = std::function<void(const std::vector<TableRow>& rows,
@@ -121,39 +121,41 @@
 
   // Called to query peers for the changes after `since`; 0: the whole table.
   // `tries` counts from 0 until this host has the data.
-  using OnLacking = std::function<void(std::uint64_t since, int tries)>;
+  using OnMissing = std::function<void(std::uint64_t since, int tries)>;
 
   // `timers` must outlive this object. `seed` randomizes delays.
-  TableFollower(TableFollowerOptions options, TablePort port,
-                TimerService* timers, std::function<absl::Time()> clock,
-                std::uint64_t seed, OnRows on_rows, OnState on_state);
-  ~TableFollower();
-  TableFollower(const TableFollower&) = delete;
-  TableFollower& operator=(const TableFollower&) = delete;
+  TableSubscriber(TableSubscriberOptions options, TablePort port,
+                  TimerService* timers, std::function<absl::Time()> clock,
+                  std::uint64_t seed, OnRows on_rows, OnState on_state);
+  ~TableSubscriber();
+  TableSubscriber(const TableSubscriber&) = delete;
+  TableSubscriber& operator=(const TableSubscriber&) = delete;
 
   void Start();
 
   // Sets whether this host always polls with short waits, to detect an
   // unresponsive service for its peers.
-  void SetWatching(bool watching);
+  void SetMonitoring(bool watching);
 
   // Sets the mode and the mean interval between probes of kProbing.
-  void SetFollowing(Following following, absl::Duration probe_period);
-  void HandOnTo(OnChanges on_changes) { on_changes_ = std::move(on_changes); }
-  void AskOthersWith(OnLacking on_lacking) {
-    on_lacking_ = std::move(on_lacking);
+  void SetMode(SubscriptionMode following, absl::Duration probe_period);
+  void SetOnChanges(OnChanges on_changes) {
+    on_changes_ = std::move(on_changes);
+  }
+  void SetOnMissing(OnMissing on_missing) {
+    on_missing_ = std::move(on_missing);
   }
 
   // Records the history that peers have, and requests changes that this host
   // still lacks after options.behind.
-  void HeardOf(const TableHistory& known);
+  void RecordPeerHistory(const TableHistory& known);
   // Applies changes after `since` that a peer propagates; 0: all rows. Returns
   // whether the copy is newer than before.
-  bool TakeHandedOn(std::uint64_t since, const TablePage& page);
+  bool ApplyPropagated(std::uint64_t since, const TablePage& page);
   // Returns the version after which to send changes to a peer that has all up
   // to `since`: `since` itself, or 0 for the whole table if this copy doesn't
   // have all changes after it.
-  std::uint64_t AnswerableSince(std::uint64_t since) const {
+  std::uint64_t ReplySince(std::uint64_t since) const {
     return since < copy_.since() ? 0 : since;
   }
   // Returns the changes after `since` for a peer; 0: the whole table.
@@ -179,7 +181,8 @@
  private:
   void Read(const std::string& from);
   bool FollowsAlways() const {
-    return mode_ == Following::kAlways || mode_ == Following::kStandby;
+    return mode_ == SubscriptionMode::kAlways ||
+           mode_ == SubscriptionMode::kStandby;
   }
   // Polls once the minimum interval since the last call is over.
   void FollowSoon();
@@ -212,14 +215,14 @@
   // made a later call.
   TableDone Guard(std::function<void(TableAnswer)> done);
 
-  const TableFollowerOptions options_;
+  const TableSubscriberOptions options_;
   const TablePort port_;
   TimerService* const timers_;
   const std::function<absl::Time()> clock_;
   const OnRows on_rows_;
   const OnState on_state_;
   OnChanges on_changes_;
-  OnLacking on_lacking_;
+  OnMissing on_missing_;
   std::mt19937_64 random_;
 
   TableCopy copy_;
@@ -230,7 +233,7 @@
   std::uint64_t heard_of_ = 0;  // Newest change that a peer has.
   bool complete_ = false;
   bool watching_ = false;
-  Following mode_ = Following::kAlways;
+  SubscriptionMode mode_ = SubscriptionMode::kAlways;
   absl::Duration probe_period_;
   bool probed_ = false;  // Whether a probe was scheduled in this mode.
   bool probe_answered_ = false;
@@ -250,4 +253,4 @@
 
 }  // namespace gentianlb::gateway
 
-#endif  // GENTIANLB_GATEWAY_TABLE_FOLLOWER_H_
+#endif  // GENTIANLB_GATEWAY_TABLE_SUBSCRIBER_H_
--- a/src/gateway/table_follower_test.cc
+++ b/src/gateway/table_subscriber_test.cc
@@ -1,4 +1,4 @@
-#include "gateway/table_follower.h"
+#include "gateway/table_subscriber.h"
 
 #include <boost/test/unit_test.hpp>
 #include <deque>
@@ -62,7 +62,7 @@
   TimerService timers;
   absl::Time now = absl::UnixEpoch() + absl::Hours(1);
   std::vector<std::string> got;
-  TableFollower follower;
+  TableSubscriber follower;
 };
 
 TablePage Page(std::vector<std::string> keys, std::uint64_t version,
@@ -170,7 +170,7 @@
 BOOST_FIXTURE_TEST_CASE(CallsAgainForAChangeThatAPeerHas, Fixture) {
   table.Next().done(Page({"a"}, 10));
   FakeTable::Call silent = table.Next();
-  follower.HeardOf({15, 0, 15});
+  follower.RecordPeerHistory({15, 0, 15});
   Pass(absl::Milliseconds(100));
   BOOST_TEST(table.calls.empty());  // The waiting call may yet be answered.
   Pass(absl::Milliseconds(100));
@@ -192,13 +192,13 @@
 BOOST_FIXTURE_TEST_CASE(AChangeThatArrivesInTimeCostsNoCall, Fixture) {
   table.Next().done(Page({"a"}, 10));
   FakeTable::Call follow = table.Next();
-  follower.HeardOf({15, 0, 15});
+  follower.RecordPeerHistory({15, 0, 15});
   Pass(absl::Milliseconds(50));
   follow.done(Change("b", 15));
   Pass(absl::Seconds(1));
   BOOST_TEST(table.calls.size() == 1u);  // The next call for changes.
-  follower.HeardOf({15, 0, 15});
-  follower.HeardOf({9, 0, 9});
+  follower.RecordPeerHistory({15, 0, 15});
+  follower.RecordPeerHistory({9, 0, 9});
   Pass(absl::Seconds(1));
   BOOST_TEST(table.calls.size() == 1u);
 }
@@ -209,7 +209,7 @@
 BOOST_FIXTURE_TEST_CASE(TheMonitorPollsWithShortWaits, Fixture) {
   table.Next().done(Page({"a"}, 10));
   table.Next();  // Waits for 29 s.
-  follower.SetWatching(true);
+  follower.SetMonitoring(true);
   FakeTable::Call watching = table.Next();
   BOOST_TEST(watching.wait == absl::Seconds(1));
   watching.done(TableFailure::kUnavailable);  // Not answered in time.
@@ -219,7 +219,7 @@
   Pass(absl::Milliseconds(300));
   BOOST_TEST(table.Next().wait == absl::Seconds(1));
   // When another host becomes the monitor, the waiting call is kept.
-  follower.SetWatching(false);
+  follower.SetMonitoring(false);
   BOOST_TEST(table.calls.empty());
 }
 
@@ -232,7 +232,7 @@
 
 struct ToldFixture : Fixture {
   ToldFixture() {
-    follower.SetFollowing(Following::kWhenTold, absl::Seconds(10));
+    follower.SetMode(SubscriptionMode::kPassive, absl::Seconds(10));
     table.Next().done(Page({"a"}, 10));
     got.clear();
   }
@@ -241,13 +241,13 @@
 // Hundreds of hosts receive each change from their zone's aggregator, without a
 // call of their own.
 BOOST_FIXTURE_TEST_CASE(APropagatedChangeNeedsNoCall, ToldFixture) {
-  follower.HeardOf({12, 0, 12});
-  follower.TakeHandedOn(10, Changed("b", 12));
+  follower.RecordPeerHistory({12, 0, 12});
+  follower.ApplyPropagated(10, Changed("b", 12));
   Pass(absl::Minutes(1));
   BOOST_TEST(table.calls.empty());
   BOOST_TEST((got == Strings{"change b"}));
   // A duplicate, or the same change of a second sender, is ignored.
-  follower.TakeHandedOn(10, Changed("b", 12));
+  follower.ApplyPropagated(10, Changed("b", 12));
   BOOST_TEST((got == Strings{"change b"}));
 }
 
@@ -255,7 +255,7 @@
 // arrives. The host must request it from the service, or it serves callers by
 // an old configuration.
 BOOST_FIXTURE_TEST_CASE(ALostChangeIsRequested, ToldFixture) {
-  follower.HeardOf({12, 0, 12});
+  follower.RecordPeerHistory({12, 0, 12});
   BOOST_TEST(table.calls.empty());
   Pass(absl::Milliseconds(201));
   FakeTable::Call call = table.Next();
@@ -265,7 +265,7 @@
   Pass(absl::Minutes(1));
   BOOST_TEST(table.calls.empty());
   // A later change shows that one is missing, without any update.
-  follower.TakeHandedOn(13, Changed("d", 14));
+  follower.ApplyPropagated(13, Changed("d", 14));
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 12u);
 }
@@ -273,10 +273,10 @@
 // A host requests a change that it missed, and the answer arrives after a newer
 // change that was propagated meanwhile. The host must not return to the older.
 BOOST_FIXTURE_TEST_CASE(AnOlderAnswerIsIgnored, ToldFixture) {
-  follower.HeardOf({12, 0, 12});
+  follower.RecordPeerHistory({12, 0, 12});
   Pass(absl::Milliseconds(201));
   FakeTable::Call call = table.Next();
-  follower.TakeHandedOn(10, Changed("newer", 15));
+  follower.ApplyPropagated(10, Changed("newer", 15));
   call.done(Changed("older", 12));
   BOOST_TEST((got == Strings{"change newer"}));
 }
@@ -284,8 +284,8 @@
 // Nothing changes for longer than the service keeps its history. A host whose
 // version did not advance would then have to read the whole table again.
 BOOST_FIXTURE_TEST_CASE(UpdatesOfPeersAdvanceTheVersion, ToldFixture) {
-  follower.HeardOf({10, 0, 900});
-  follower.HeardOf({901, 0, 901});
+  follower.RecordPeerHistory({10, 0, 900});
+  follower.RecordPeerHistory({901, 0, 901});
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 900u);
 }
@@ -293,11 +293,12 @@
 // Guards against removed servers that stay in use. A peer that read the table
 // after the removal has seen no change, but can't vouch that there was none.
 BOOST_FIXTURE_TEST_CASE(APeerThatReadLaterCantVouchForRemovals, ToldFixture) {
-  follower.HeardOf({/*newest_change=*/8, /*since=*/100, /*version=*/110});
+  follower.RecordPeerHistory(
+      {/*newest_change=*/8, /*since=*/100, /*version=*/110});
   BOOST_TEST(follower.version() == 10u);
   // The next change shows that something is missing here.
   TablePage handed = Changed("b", 112);
-  follower.TakeHandedOn(110, handed);
+  follower.ApplyPropagated(110, handed);
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 10u);
 }
@@ -305,7 +306,7 @@
 // No live peer reaches the service, which may still answer this host. The host
 // must probe it at long intervals, and poll for its peers once it is answered.
 BOOST_FIXTURE_TEST_CASE(ProbesRarelyWhenNoPeerReachesTheService, ToldFixture) {
-  follower.SetFollowing(Following::kProbing, absl::Seconds(10));
+  follower.SetMode(SubscriptionMode::kProbing, absl::Seconds(10));
   int tries = 0;
   for (int i = 0; i < 60; ++i) {
     Pass(absl::Seconds(1));
@@ -324,7 +325,7 @@
 
 // The host that propagated changes becomes unresponsive, so this one polls.
 BOOST_FIXTURE_TEST_CASE(AnIsolatedHostPolls, ToldFixture) {
-  follower.SetFollowing(Following::kAlways, absl::Seconds(10));
+  follower.SetMode(SubscriptionMode::kAlways, absl::Seconds(10));
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 10u);
 }
@@ -354,7 +355,7 @@
   table.Next().done(whole);
   TablePage handed;
   std::uint64_t handed_since = 0;
-  follower.HandOnTo([&](std::uint64_t since, const TablePage& page) {
+  follower.SetOnChanges([&](std::uint64_t since, const TablePage& page) {
     handed_since = since;
     handed = page;
   });
