--- a/src/gateway/aggregate.cc
+++ b/src/gateway/aggregate.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "gateway/zone_role.h"
+#include "gateway/aggregator_election.h"
 
 namespace gentianlb::gateway {
 namespace {
@@ -307,7 +307,7 @@
 }
 
 bool Aggregate::IsLive(const Source& source, absl::Time now) {
-  return now - source.received <= Believed(PeriodOf(source.update));
+  return now - source.received <= LivenessTimeout(PeriodOf(source.update));
 }
 
 bool Aggregate::IsCounted(const Source& source, absl::Time now) const {
--- a/src/gateway/zone_role.cc
+++ b/src/gateway/aggregator_election.cc
@@ -1,4 +1,4 @@
-#include "gateway/zone_role.h"
+#include "gateway/aggregator_election.h"
 
 #include <glog/logging.h>
 
@@ -16,19 +16,20 @@
 
 }  // namespace
 
-void ZoneRole::AddHost(const HostEntry& host) {
+void AggregatorElection::AddHost(const HostEntry& host) {
   if (host.host == self_.host || host.host.empty()) return;
   known_[host.host].entry = host;
 }
 
-void ZoneRole::Start(absl::Time now) {
+void AggregatorElection::Start(absl::Time now) {
   if (started_) return;
   started_ = true;
   no_aggregator_since_ = now;
 }
 
-void ZoneRole::RecordAggregator(const std::string& host, absl::Duration period,
-                                absl::Time now) {
+void AggregatorElection::RecordAggregator(const std::string& host,
+                                          absl::Duration period,
+                                          absl::Time now) {
   const auto found = known_.find(host);
   if (found == known_.end()) return;
   found->second.last_aggregator_message = now;
@@ -36,7 +37,8 @@
   found->second.skipped_until = absl::InfinitePast();
 }
 
-std::vector<std::string> ZoneRole::BetterCandidates(absl::Time now) const {
+std::vector<std::string> AggregatorElection::BetterCandidates(
+    absl::Time now) const {
   std::vector<std::string> candidates;
   for (const auto& [name, known] : known_) {
     if (known.entry.zone != self_.zone || now < known.skipped_until) continue;
@@ -46,27 +48,28 @@
   return candidates;
 }
 
-void ZoneRole::SortBestFirst(std::vector<std::string>* names) const {
+void AggregatorElection::SortBestFirst(std::vector<std::string>* names) const {
   std::sort(names->begin(), names->end(), [this](const auto& a, const auto& b) {
     return RanksBelow(known_.at(b).entry, known_.at(a).entry);
   });
 }
 
-void ZoneRole::OnAggregatorLost(absl::Time now) {
+void AggregatorElection::OnAggregatorLost(absl::Time now) {
   LOG(WARNING) << "event=aggregator-lost host=" << aggregator_;
   known_[aggregator_].skipped_until = now + kLostAggregatorSkip;
   aggregator_.clear();
   no_aggregator_since_ = now;
 }
 
-void ZoneRole::Tick(absl::Duration period, absl::Time now) {
+void AggregatorElection::Tick(absl::Duration period, absl::Time now) {
   if (!started_) return;
   const std::vector<std::string> candidates = BetterCandidates(now);
-  const auto live = std::find_if(
-      candidates.begin(), candidates.end(), [&](const std::string& name) {
-        const Known& known = known_.at(name);
-        return now - known.last_aggregator_message <= Believed(known.period);
-      });
+  const auto live = std::find_if(candidates.begin(), candidates.end(),
+                                 [&](const std::string& name) {
+                                   const Known& known = known_.at(name);
+                                   return now - known.last_aggregator_message <=
+                                          LivenessTimeout(known.period);
+                                 });
   if (live != candidates.end()) {
     if (aggregator_ != *live) {
       LOG(INFO) << "event=aggregator host=" << *live
@@ -89,16 +92,16 @@
             << " known=" << known_.size() + 1;
 }
 
-std::string ZoneRole::ReportTarget() const {
+std::string AggregatorElection::ReportTarget() const {
   return aggregator_.empty() ? next_ : aggregator_;
 }
 
-const HostEntry* ZoneRole::Find(const std::string& host) const {
+const HostEntry* AggregatorElection::Find(const std::string& host) const {
   const auto found = known_.find(host);
   return found == known_.end() ? nullptr : &found->second.entry;
 }
 
-std::vector<std::string> ZoneRole::ZonePeers() const {
+std::vector<std::string> AggregatorElection::ZonePeers() const {
   std::vector<std::string> names;
   for (const auto& [name, known] : known_) {
     if (known.entry.zone == self_.zone) names.push_back(name);
@@ -107,7 +110,8 @@
   return names;
 }
 
-std::map<std::string, std::vector<std::string>> ZoneRole::OtherZones() const {
+std::map<std::string, std::vector<std::string>> AggregatorElection::OtherZones()
+    const {
   std::map<std::string, std::vector<std::string>> zones;
   for (const auto& [name, known] : known_) {
     if (known.entry.zone != self_.zone) {
--- a/src/gateway/zone_role.h
+++ b/src/gateway/aggregator_election.h
@@ -10,8 +10,8 @@
 //
 // Has no network and no clock of its own.
 
-#ifndef GENTIANLB_GATEWAY_ZONE_ROLE_H_
-#define GENTIANLB_GATEWAY_ZONE_ROLE_H_
+#ifndef GENTIANLB_GATEWAY_AGGREGATOR_ELECTION_H_
+#define GENTIANLB_GATEWAY_AGGREGATOR_ELECTION_H_
 
 #include <algorithm>
 #include <map>
@@ -28,7 +28,7 @@
 // Returns the time after which an unresponsive sender counts as killed, frozen
 // or cut off. A host with a small share of a processor may stall for some
 // tenths of a second when the share is used up.
-inline absl::Duration Believed(absl::Duration period) {
+inline absl::Duration LivenessTimeout(absl::Duration period) {
   constexpr int kPeriods = 4;
   constexpr absl::Duration kMinTimeout = absl::Milliseconds(400);
   return std::max(kMinTimeout, kPeriods * period);
@@ -44,9 +44,9 @@
   return age <= kPeriods * period;
 }
 
-class ZoneRole {
+class AggregatorElection {
  public:
-  ZoneRole(HostEntry self, absl::Time now)
+  AggregatorElection(HostEntry self, absl::Time now)
       : self_(std::move(self)), no_aggregator_since_(now) {}
 
   // Adds a host of any zone or replaces its entry.
@@ -103,4 +103,4 @@
 
 }  // namespace gentianlb::gateway
 
-#endif  // GENTIANLB_GATEWAY_ZONE_ROLE_H_
+#endif  // GENTIANLB_GATEWAY_AGGREGATOR_ELECTION_H_
--- a/src/gateway/demand.cc
+++ b/src/gateway/demand.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "gateway/zone_role.h"
+#include "gateway/aggregator_election.h"
 
 namespace gentianlb::gateway {
 namespace {
@@ -62,7 +62,7 @@
   // Another aggregator counts from another start; and while this host was cut
   // off, the others kept to their parts.
   const bool same = others.sender.host == others_.sender.host &&
-                    now - heard_ <= Believed(Period());
+                    now - heard_ <= LivenessTimeout(Period());
   if (!same) counters_ = UseCounters();
   std::vector<Spent> spent;
   // What an aggregator tells that began since is new to this host, unless the
--- a/src/gateway/fleet.cc
+++ b/src/gateway/fleet.cc
@@ -141,7 +141,7 @@
   // Drops an update that a newer one has overtaken; see
   // Aggregate::RecordUpdate.
   const bool same_sender = peers_sender_ == update.sender.host &&
-                           now - peers_received_ <= Believed(period_);
+                           now - peers_received_ <= LivenessTimeout(period_);
   if (same_sender && PositionOf(update) <= peers_position_) return;
   peers_sender_ = update.sender.host;
   peers_position_ = PositionOf(update);
@@ -153,7 +153,7 @@
 void Fleet::Tick(absl::Time now) {
   ++ticks_;
   const bool was_aggregator = election_.won();
-  const bool paused = now - last_tick_ > Believed(period_);
+  const bool paused = now - last_tick_ > LivenessTimeout(period_);
   last_tick_ = now;
   election_.Tick(period_, now);
   if (!election_.won()) return SendReport();
@@ -269,7 +269,7 @@
   hooks_.on_peers(own);
 }
 
-std::vector<std::string> Fleet::Followers() const {
+std::vector<std::string> Fleet::LiveZonePeers() const {
   std::vector<std::string> names;
   if (!election_.won()) return names;
   for (const HostEntry& host : aggregate_.live()) {
--- a/src/gateway/fleet.h
+++ b/src/gateway/fleet.h
@@ -17,8 +17,8 @@
 
 #include "absl/time/time.h"
 #include "gateway/aggregate.h"
+#include "gateway/aggregator_election.h"
 #include "gateway/fleet_messages.h"
-#include "gateway/zone_role.h"
 
 namespace gentianlb::gateway {
 
@@ -65,7 +65,7 @@
   std::vector<std::string> QueryTargets(int tries, std::uint64_t seed) const;
   // Returns the live peers of the zone if this host is its aggregator, else
   // none.
-  std::vector<std::string> Followers() const;
+  std::vector<std::string> LiveZonePeers() const;
 
  private:
   // Sends this host's state to the aggregator.
@@ -93,7 +93,7 @@
 
   const std::int64_t incarnation_;
   const FleetHooks hooks_;
-  ZoneRole election_;
+  AggregatorElection election_;
   Aggregate aggregate_;
   std::int64_t aggregate_incarnation_ = 0;
   std::uint64_t sequence_ = 0;
--- a/src/gateway/fleet_messages.cc
+++ b/src/gateway/fleet_messages.cc
@@ -86,12 +86,12 @@
   reader(changes->table, changes->since, changes->page.version);
   ReadList(reader, &changes->page.rows, [&](TableRow& row) {
     ReadText(reader, &row.key);
-    ReadBytes(reader, kMostChangeBytes, &row.value);
+    ReadBytes(reader, kMaxChangesBytes, &row.value);
     reader(row.removed, row.version);
   });
 }
 
-void ReadQuery(WireReader& reader, TableQuestion* query) {
+void ReadQuery(WireReader& reader, TableQuery* query) {
   ReadText(reader, &query->requester);
   reader(query->table, query->since);
 }
@@ -168,7 +168,7 @@
     writer(row.removed, row.version);
   });
   std::string bytes = out.str();
-  if (bytes.size() > kMostChangeBytes) return std::nullopt;
+  if (bytes.size() > kMaxChangesBytes) return std::nullopt;
   return bytes;
 }
 
@@ -180,7 +180,7 @@
   return Decode<TableChanges>(kChangesMark, bytes, ReadChanges);
 }
 
-std::string Encode(const TableQuestion& query) {
+std::string Encode(const TableQuery& query) {
   std::ostringstream out;
   out << kQueryMark;
   WireWriter writer(out);
@@ -189,12 +189,12 @@
   return out.str();
 }
 
-bool IsTableQuestion(std::string_view bytes) {
+bool IsTableQuery(std::string_view bytes) {
   return bytes.starts_with(kQueryMark);
 }
 
-std::optional<TableQuestion> DecodeTableQuestion(std::string_view bytes) {
-  return Decode<TableQuestion>(kQueryMark, bytes, ReadQuery);
+std::optional<TableQuery> DecodeTableQuery(std::string_view bytes) {
+  return Decode<TableQuery>(kQueryMark, bytes, ReadQuery);
 }
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/fleet_messages.h
+++ b/src/gateway/fleet_messages.h
@@ -3,7 +3,7 @@
 // Each host sends its state to the aggregator of its availability zone.
 // Aggregators exchange the merged states of their zones, and each sends every
 // host of its zone the merged state of all its peers. aggregate.h merges the
-// states, zone_role.h elects the aggregators.
+// states, aggregator_election.h elects the aggregators.
 
 #ifndef GENTIANLB_GATEWAY_FLEET_MESSAGES_H_
 #define GENTIANLB_GATEWAY_FLEET_MESSAGES_H_
@@ -127,7 +127,7 @@
 
 // Maximum length of an encoded TableChanges message; with its envelope it fits
 // into one datagram.
-inline constexpr std::size_t kMostChangeBytes = 48 << 10;
+inline constexpr std::size_t kMaxChangesBytes = 48 << 10;
 
 // Changes of a table that one host has read from the table service.
 struct TableChanges {
@@ -145,16 +145,16 @@
 std::optional<TableChanges> DecodeTableChanges(std::string_view bytes);
 
 // Asks a peer for the changes of a table that it has.
-struct TableQuestion {
+struct TableQuery {
   std::string requester;  // Host to reply to.
   NameHash table = 0;
   std::uint64_t since = 0;  // Version that this host has; 0: none.
-  bool operator==(const TableQuestion&) const = default;
+  bool operator==(const TableQuery&) const = default;
 };
 
-std::string Encode(const TableQuestion& query);
-bool IsTableQuestion(std::string_view bytes);
-std::optional<TableQuestion> DecodeTableQuestion(std::string_view bytes);
+std::string Encode(const TableQuery& query);
+bool IsTableQuery(std::string_view bytes);
+std::optional<TableQuery> DecodeTableQuery(std::string_view bytes);
 
 }  // namespace gentianlb::gateway
 
--- a/src/gateway/fleet_messages_test.cc
+++ b/src/gateway/fleet_messages_test.cc
@@ -44,8 +44,8 @@
   const auto changes = DecodeTableChanges(*Encode(SampleChanges()));
   BOOST_REQUIRE(changes.has_value());
   BOOST_TEST((*changes == SampleChanges()));
-  const TableQuestion query{"edge-1", HashName("servers"), 77};
-  BOOST_TEST((*DecodeTableQuestion(Encode(query)) == query));
+  const TableQuery query{"edge-1", HashName("servers"), 77};
+  BOOST_TEST((*DecodeTableQuery(Encode(query)) == query));
 }
 
 // Guards against accepting truncated datagrams or data of another program, and
@@ -63,9 +63,9 @@
   for (std::size_t size = 0; size < changes.size(); size += 97) {
     BOOST_TEST(!DecodeTableChanges(changes.substr(0, size)).has_value());
   }
-  const std::string query = Encode(TableQuestion{"edge-1", 5, 77});
+  const std::string query = Encode(TableQuery{"edge-1", 5, 77});
   for (std::size_t size = 0; size < query.size(); ++size) {
-    BOOST_TEST(!DecodeTableQuestion(query.substr(0, size)).has_value());
+    BOOST_TEST(!DecodeTableQuery(query.substr(0, size)).has_value());
   }
   for (std::size_t i = 20; i < changes.size(); ++i) changes[i] = '\xff';
   BOOST_TEST(!DecodeTableChanges(changes).has_value());
--- a/src/gateway/fleet_site_test.h
+++ b/src/gateway/fleet_site_test.h
@@ -174,25 +174,24 @@
     if (random() % 1000 < lost_per_thousand) return;
     const absl::Duration delay = absl::Milliseconds(
         1 + static_cast<int>(random() % static_cast<unsigned>(max_delay_ms)));
-    in_flight_.push_back({now + delay, to, from->side, update});
-    if (random() % 100 < duplicated_percent)
-      in_flight_.push_back(in_flight_.back());
+    queue_.push_back({now + delay, to, from->side, update});
+    if (random() % 100 < duplicated_percent) queue_.push_back(queue_.back());
   }
 
   void Deliver() {
-    std::vector<Datagram> in_flight;
-    in_flight.swap(in_flight_);
-    for (Datagram& datagram : in_flight) {
+    std::vector<Datagram> queued;
+    queued.swap(queue_);
+    for (Datagram& datagram : queued) {
       Host& host = hosts.at(datagram.to);
       if (datagram.due > now) {
-        in_flight_.push_back(std::move(datagram));
+        queue_.push_back(std::move(datagram));
       } else if (host.up && !host.frozen && host.side == datagram.side) {
         host.fleet->OnUpdate(datagram.update, now - host.clock_behind);
       }
     }
   }
 
-  std::vector<Datagram> in_flight_;
+  std::vector<Datagram> queue_;
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -101,13 +101,13 @@
           }),
       sharing_(
           settings.id.str(), {&configuration_, &servers_},
-          {.hand_on =
+          {.propagate =
                [this](const TableChanges& changes) {
-                 SendChanges(peers_->fleet().Followers(), changes);
+                 SendChanges(peers_->fleet().LiveZonePeers(), changes);
                },
-           .ask = [this](const TableQuestion& question,
-                         int tries) { AskOthers(question, tries); },
-           .answer =
+           .query = [this](const TableQuery& question,
+                           int tries) { QueryPeers(question, tries); },
+           .reply =
                [this](const std::string& host, const TableChanges& changes) {
                  SendChanges({host}, changes);
                }},
@@ -124,7 +124,7 @@
   std::unique_ptr<Host> host(
       new Host(settings, std::move(platform), loop, log));
   if (auto error = host->Listen()) return *error;
-  if (auto error = host->MeetPeers()) return *error;
+  if (auto error = host->StartPeers()) return *error;
   host->forwarder_.OnWrongServer([self = host.get()](const ServerId& server) {
     // Whatever its registration says, another server answers there.
     if (self->directory_.Change(server.str(), std::nullopt,
--- a/src/gateway/host.h
+++ b/src/gateway/host.h
@@ -70,15 +70,15 @@
        loop::EventLoop* loop, log::BoundedLog* log);
 
   std::optional<Error> Listen();
-  std::optional<Error> MeetPeers();
-  void ComposeNews(FleetUpdate* news);
-  void TakeOthers(const FleetUpdate& others);
-  void TakeOther(std::string_view bytes);
+  std::optional<Error> StartPeers();
+  void ComposeUpdate(FleetUpdate* news);
+  void OnPeersUpdate(const FleetUpdate& others);
+  void OnPeerMessage(std::string_view bytes);
   // Lets what was heard, or wasn't, come into force.
-  void UseNews(absl::Time now);
+  void ApplyPeerState(absl::Time now);
   void SendChanges(const std::vector<std::string>& hosts,
                    const TableChanges& changes);
-  void AskOthers(const TableQuestion& question, int tries);
+  void QueryPeers(const TableQuery& question, int tries);
   void TakeRequest(http::Request request,
                    std::shared_ptr<http::Responder> responder);
   void TakeQuestion(const http::Request& request,
@@ -110,8 +110,8 @@
   std::unique_ptr<http::Server> callers_;
   std::unique_ptr<http::Server> ready_;
   std::unique_ptr<http::Server> metrics_server_;
-  int hosts_told_ = 1;  // To the forwarder.
-  absl::Time hosts_told_at_ = absl::InfinitePast();
+  int reported_hosts_ = 1;  // To the forwarder.
+  absl::Time reported_hosts_at_ = absl::InfinitePast();
   std::vector<TimerId> timers_;
   TimerId expiry_ = 0;
   bool draining_ = false;
--- a/src/gateway/host_fleet.cc
+++ b/src/gateway/host_fleet.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-std::optional<Error> Host::MeetPeers() {
+std::optional<Error> Host::StartPeers() {
   PeersOptions options;
   options.host = settings_.id;
   options.zone = settings_.zone;
@@ -26,14 +26,14 @@
   options.address = settings_.peers;
   options.table = platform_.host_table;
   PeersHooks hooks;
-  hooks.compose = [this](FleetUpdate* update) { ComposeNews(update); };
-  hooks.on_peers = [this](const FleetUpdate& others) { TakeOthers(others); };
+  hooks.compose = [this](FleetUpdate* update) { ComposeUpdate(update); };
+  hooks.on_peers = [this](const FleetUpdate& others) { OnPeersUpdate(others); };
   hooks.on_zone = [this](const FleetUpdate& zone) {
-    sharing_.HeardZone(zone, loop_->now());
+    sharing_.OnZoneUpdate(zone, loop_->now());
   };
-  hooks.on_message = [this](std::string_view bytes) { TakeOther(bytes); };
+  hooks.on_message = [this](std::string_view bytes) { OnPeerMessage(bytes); };
   hooks.on_host_count = [this](int hosts) { demand_.Know(hosts); };
-  hooks.on_tick = [this](absl::Time now) { UseNews(now); };
+  hooks.on_tick = [this](absl::Time now) { ApplyPeerState(now); };
   auto started =
       Peers::Start(options, platform_.table, loop_, std::move(hooks));
   if (!started.ok()) return started.error();
@@ -41,11 +41,11 @@
   return std::nullopt;
 }
 
-void Host::ComposeNews(FleetUpdate* update) {
+void Host::ComposeUpdate(FleetUpdate* update) {
   update->draining = draining_;
   update->servers = forwarder_.Uses();
   update->workspaces = demand_.Tell(loop_->now());
-  update->tables = sharing_.Tell();
+  update->tables = sharing_.TableStates();
   // Only an aggregator reports a recovery: another host may have been cut off
   // alone.
   if (!peers_->fleet().is_aggregator()) return;
@@ -54,7 +54,7 @@
   }
 }
 
-void Host::TakeOthers(const FleetUpdate& others) {
+void Host::OnPeersUpdate(const FleetUpdate& others) {
   const absl::Time now = loop_->now();
   for (const Spent& spent : demand_.Heard(others, now)) {
     forwarder_.quotas().Spend(spent.workspace, spent.tokens, now);
@@ -63,7 +63,7 @@
     service_return_.Heard(table.recovery_age_ms, now);
     directory_.ServiceReturned(service_return_.latest());
   }
-  sharing_.HeardOthers(others, now);
+  sharing_.OnPeersUpdate(others, now);
   if (others.detailed) {
     groups_.SetDispatchers(others.dispatchers);
     absl::flat_hash_map<NameHash, ServerUse> uses;
@@ -71,17 +71,17 @@
     forwarder_.UsedElsewhere(uses);
     groups_.UsedElsewhere(uses);
   }
-  UseNews(now);
+  ApplyPeerState(now);
 }
 
-void Host::TakeOther(std::string_view bytes) {
-  if (IsTableQuestion(bytes)) {
-    if (const auto query = DecodeTableQuestion(bytes)) {
-      return sharing_.Take(*query);
+void Host::OnPeerMessage(std::string_view bytes) {
+  if (IsTableQuery(bytes)) {
+    if (const auto query = DecodeTableQuery(bytes)) {
+      return sharing_.HandleMessage(*query);
     }
   } else if (IsTableChanges(bytes)) {
     if (const auto changes = DecodeTableChanges(bytes)) {
-      return sharing_.Take(*changes);
+      return sharing_.HandleMessage(*changes);
     }
   } else {
     return groups_.Take(bytes);
@@ -104,7 +104,7 @@
   for (const std::string& host : hosts) peers_->Send(host, *bytes);
 }
 
-void Host::AskOthers(const TableQuestion& query, int tries) {
+void Host::QueryPeers(const TableQuery& query, int tries) {
   // Until Peers has started, no peer is known.
   if (peers_ == nullptr) return;
   const std::uint64_t draw =
@@ -115,8 +115,8 @@
   }
 }
 
-void Host::UseNews(absl::Time now) {
-  sharing_.Choose({peers_->fleet().is_aggregator(), demand_.hosts()}, now);
+void Host::ApplyPeerState(absl::Time now) {
+  sharing_.UpdateModes({peers_->fleet().is_aggregator(), demand_.hosts()}, now);
   Quotas& quotas = forwarder_.quotas();
   const std::vector<NameHash> limited = quotas.Limited();
   demand_.Agree(limited, now);
@@ -124,10 +124,10 @@
     quotas.SetPart(workspace, demand_.Part(workspace, now), now);
     quotas.SetOthers(workspace, demand_.Others(workspace, now), now);
   }
-  if (hosts_told_ == demand_.hosts()) return;
-  if (now - hosts_told_at_ < kHostsPeriod) return;
-  hosts_told_ = demand_.hosts();
-  hosts_told_at_ = now;
+  if (reported_hosts_ == demand_.hosts()) return;
+  if (now - reported_hosts_at_ < kHostsPeriod) return;
+  reported_hosts_ = demand_.hosts();
+  reported_hosts_at_ = now;
   forwarder_.ServersChanged();
 }
 
--- a/src/gateway/table_watch.cc
+++ b/src/gateway/monitor_election.cc
@@ -1,9 +1,9 @@
-#include "gateway/table_watch.h"
+#include "gateway/monitor_election.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "gateway/zone_role.h"
+#include "gateway/aggregator_election.h"
 
 namespace gentianlb::gateway {
 namespace {
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-void TableWatch::RecordUpdate(const FleetUpdate& update, absl::Time now) {
+void MonitorElection::RecordUpdate(const FleetUpdate& update, absl::Time now) {
   const bool reaches =
       std::all_of(update.tables.begin(), update.tables.end(),
                   [](const TableState& table) { return table.up; });
   peers_[update.sender.host] = {
-      now + Believed(absl::Milliseconds(update.period_ms)),
+      now + LivenessTimeout(absl::Milliseconds(update.period_ms)),
       reaches && !update.tables.empty()};
 }
 
-bool TableWatch::IsMonitor(bool reaches, absl::Time now) const {
+bool MonitorElection::IsMonitor(bool reaches, absl::Time now) const {
   if (!reaches || now - started_ < kMinUptime) return false;
   const auto own_rank = std::pair(HashName(host_), host_);
   return std::none_of(peers_.begin(), peers_.end(), [&](const auto& item) {
--- a/src/gateway/table_watch.h
+++ b/src/gateway/monitor_election.h
@@ -11,8 +11,8 @@
 // The hosts need no agreement: two monitors for a moment cost some calls, and
 // after a network partition each side has its own.
 
-#ifndef GENTIANLB_GATEWAY_TABLE_WATCH_H_
-#define GENTIANLB_GATEWAY_TABLE_WATCH_H_
+#ifndef GENTIANLB_GATEWAY_MONITOR_ELECTION_H_
+#define GENTIANLB_GATEWAY_MONITOR_ELECTION_H_
 
 #include <string>
 
@@ -24,9 +24,9 @@
 
 // Decides whether this host is the monitor, from the updates of other
 // aggregators.
-class TableWatch {
+class MonitorElection {
  public:
-  TableWatch(std::string host, absl::Time started)
+  MonitorElection(std::string host, absl::Time started)
       : host_(std::move(host)), started_(started) {}
 
   // Records whether the sender, an aggregator, reaches the service.
@@ -49,4 +49,4 @@
 
 }  // namespace gentianlb::gateway
 
-#endif  // GENTIANLB_GATEWAY_TABLE_WATCH_H_
+#endif  // GENTIANLB_GATEWAY_MONITOR_ELECTION_H_
--- a/src/gateway/table_watch_test.cc
+++ b/src/gateway/monitor_election_test.cc
@@ -1,4 +1,4 @@
-#include "gateway/table_watch.h"
+#include "gateway/monitor_election.h"
 
 #include <boost/test/unit_test.hpp>
 #include <vector>
@@ -9,7 +9,7 @@
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 const std::vector<std::string> hosts = {"h1", "h2", "h3", "h4"};
 
-FleetUpdate UpdateOf(const std::string& host, bool up) {
+FleetUpdate Update(const std::string& host, bool up) {
   FleetUpdate update;
   update.sender.host = host;
   update.period_ms = 250;
@@ -27,10 +27,9 @@
   };
   std::vector<std::string> monitors;
   for (const std::string& host : hosts) {
-    TableWatch election(host, start);
-    for (const std::string& other : senders) {
-      if (other != host)
-        election.RecordUpdate(UpdateOf(other, reaches(other)), now);
+    MonitorElection election(host, start);
+    for (const std::string& peer : senders) {
+      if (peer != host) election.RecordUpdate(Update(peer, reaches(peer)), now);
     }
     if (election.IsMonitor(reaches(host), now)) monitors.push_back(host);
   }
@@ -56,9 +55,9 @@
   const std::string first = Monitors(hosts, {}).front();
   for (const std::string& host : hosts) {
     if (host == first) continue;
-    TableWatch election(host, start);
+    MonitorElection election(host, start);
     const absl::Time received = start + absl::Seconds(10);
-    election.RecordUpdate(UpdateOf(first, true), received);
+    election.RecordUpdate(Update(first, true), received);
     BOOST_TEST(!election.IsMonitor(true, received + absl::Milliseconds(900)));
     BOOST_TEST(election.IsMonitor(true, received + absl::Milliseconds(1100)));
   }
@@ -67,7 +66,7 @@
 // All hosts start at once and have not received updates of each other. If each
 // of hundreds became the monitor, their calls would overload the service.
 BOOST_AUTO_TEST_CASE(NoHostIsTheMonitorJustAfterTheStart) {
-  const TableWatch election("h1", start);
+  const MonitorElection election("h1", start);
   BOOST_TEST(!election.IsMonitor(true, start + absl::Seconds(1)));
   BOOST_TEST(election.IsMonitor(true, start + absl::Seconds(3)));
 }
--- a/src/gateway/peers.cc
+++ b/src/gateway/peers.cc
@@ -61,7 +61,7 @@
 
 // Maximum length of an envelope without its content.
 constexpr std::size_t kMaxEnvelopeBytes = 8 << 10;
-static_assert(kMostChangeBytes + kMaxEnvelopeBytes <= loop::kMostMessageBytes);
+static_assert(kMaxChangesBytes + kMaxEnvelopeBytes <= loop::kMostMessageBytes);
 
 std::string EncodeEnvelope(const Envelope& envelope) {
   std::ostringstream out;
--- a/src/gateway/table_sharing.cc
+++ b/src/gateway/table_sharing.cc
@@ -11,16 +11,16 @@
 
 // A host that receives no state of its peers for this time polls the tables
 // itself. A lost aggregator is replaced much sooner.
-constexpr absl::Duration kUnlinked = absl::Seconds(2);
+constexpr absl::Duration kPeersTimeout = absl::Seconds(2);
 
 // Mean interval between probes of all hosts together, while no live host
 // reaches the table service.
-constexpr absl::Duration kProbePerHost = absl::Milliseconds(100);
+constexpr absl::Duration kProbeIntervalPerHost = absl::Milliseconds(100);
 
 // Mean number of standbys. The service may refuse a third of all hosts at once,
 // but hardly ever all standbys. Each makes at most one call per second while
 // there are changes.
-constexpr double kStandbys = 5;
+constexpr double kMeanStandbys = 5;
 
 // Returns a value from 0 to below 1 that a restart does not change.
 double RankOf(std::string_view host) {
@@ -28,116 +28,119 @@
   return HashName(host) / kHashes;
 }
 
-bool IsOf(const TableSubscriber& follower, NameHash table) {
-  return table == HashName(follower.table());
+bool IsOf(const TableSubscriber& subscriber, NameHash table) {
+  return table == HashName(subscriber.table());
 }
 
 }  // namespace
 
 TableSharing::TableSharing(std::string host,
-                           std::vector<TableSubscriber*> followers,
+                           std::vector<TableSubscriber*> subscribers,
                            TableSharingHooks hooks, absl::Time now)
     : rank_(RankOf(host)),
-      followers_(std::move(followers)),
+      subscribers_(std::move(subscribers)),
       hooks_(std::move(hooks)),
-      watch_(host, now),
-      others_heard_(now) {
-  for (TableSubscriber* follower : followers_) {
+      monitor_election_(host, now),
+      peers_received_(now) {
+  for (TableSubscriber* subscriber : subscribers_) {
     // The mode is set before the first change matters; no probe comes earlier.
-    follower->SetMode(SubscriptionMode::kPassive,
-                      /*probe_period=*/absl::InfiniteDuration());
-    const NameHash table = HashName(follower->table());
-    follower->SetOnChanges(
+    subscriber->SetMode(SubscriptionMode::kPassive,
+                        /*probe_period=*/absl::InfiniteDuration());
+    const NameHash table = HashName(subscriber->table());
+    subscriber->SetOnChanges(
         [this, table](std::uint64_t since, const TablePage& page) {
-          hooks_.hand_on({table, since, page});
+          hooks_.propagate({table, since, page});
+        });
+    subscriber->SetOnMissing(
+        [this, host, table](std::uint64_t since, int tries) {
+          hooks_.query({host, table, since}, tries);
         });
-    follower->SetOnMissing([this, host, table](std::uint64_t since, int tries) {
-      hooks_.ask({host, table, since}, tries);
-    });
   }
 }
 
-std::vector<TableState> TableSharing::Tell() const {
+std::vector<TableState> TableSharing::TableStates() const {
   std::vector<TableState> tables;
-  for (const TableSubscriber* follower : followers_) {
-    TableState update;
-    update.table = HashName(follower->table());
-    update.history = follower->History();
-    update.up = follower->subscribed();
-    tables.push_back(update);
+  for (const TableSubscriber* subscriber : subscribers_) {
+    TableState state;
+    state.table = HashName(subscriber->table());
+    state.history = subscriber->History();
+    state.up = subscriber->subscribed();
+    tables.push_back(state);
   }
   return tables;
 }
 
-void TableSharing::HeardOthers(const FleetUpdate& others, absl::Time now) {
-  others_tables_ = others.tables;
-  others_heard_ = now;
-  for (const TableState& table : others.tables) {
-    for (TableSubscriber* follower : followers_) {
-      if (!IsOf(*follower, table.table)) continue;
-      follower->RecordPeerHistory(table.history);
+void TableSharing::OnPeersUpdate(const FleetUpdate& peers, absl::Time now) {
+  peer_tables_ = peers.tables;
+  peers_received_ = now;
+  for (const TableState& table : peers.tables) {
+    for (TableSubscriber* subscriber : subscribers_) {
+      if (!IsOf(*subscriber, table.table)) continue;
+      subscriber->RecordPeerHistory(table.history);
     }
   }
 }
 
-void TableSharing::HeardZone(const FleetUpdate& zone, absl::Time now) {
-  watch_.RecordUpdate(zone, now);
+void TableSharing::OnZoneUpdate(const FleetUpdate& zone, absl::Time now) {
+  monitor_election_.RecordUpdate(zone, now);
 }
 
-void TableSharing::Take(const TableChanges& changes) {
-  for (TableSubscriber* follower : followers_) {
-    if (!IsOf(*follower, changes.table)) continue;
-    const bool changed = follower->ApplyPropagated(changes.since, changes.page);
+void TableSharing::HandleMessage(const TableChanges& changes) {
+  for (TableSubscriber* subscriber : subscribers_) {
+    if (!IsOf(*subscriber, changes.table)) continue;
+    const bool changed =
+        subscriber->ApplyPropagated(changes.since, changes.page);
     // The service refused this host, and may refuse others of its zone.
-    if (changed && place_.is_aggregator) hooks_.hand_on(changes);
+    if (changed && role_.is_aggregator) hooks_.propagate(changes);
   }
 }
 
-void TableSharing::Take(const TableQuestion& query) {
-  for (const TableSubscriber* follower : followers_) {
-    if (!IsOf(*follower, query.table)) continue;
-    if (!follower->complete() || follower->version() <= query.since) return;
-    const std::uint64_t since = follower->ReplySince(query.since);
-    LOG(INFO) << "event=table-told table=" << follower->table()
+void TableSharing::HandleMessage(const TableQuery& query) {
+  for (const TableSubscriber* subscriber : subscribers_) {
+    if (!IsOf(*subscriber, query.table)) continue;
+    if (!subscriber->complete() || subscriber->version() <= query.since) return;
+    const std::uint64_t since = subscriber->ReplySince(query.since);
+    LOG(INFO) << "event=table-told table=" << subscriber->table()
               << " to=" << query.requester << " knows=" << query.since
-              << " since=" << since << " version=" << follower->version();
-    hooks_.answer(query.requester,
-                  {query.table, since, follower->ChangesSince(since)});
+              << " since=" << since << " version=" << subscriber->version();
+    hooks_.reply(query.requester,
+                 {query.table, since, subscriber->ChangesSince(since)});
   }
 }
 
-bool TableSharing::OthersFollow(const TableSubscriber& follower) const {
-  return std::any_of(others_tables_.begin(), others_tables_.end(),
+bool TableSharing::HasSubscribedPeer(const TableSubscriber& subscriber) const {
+  return std::any_of(peer_tables_.begin(), peer_tables_.end(),
                      [&](const TableState& table) {
-                       return IsOf(follower, table.table) && table.up;
+                       return IsOf(subscriber, table.table) && table.up;
                      });
 }
 
 bool TableSharing::IsStandby(int hosts) const {
   // With one known host, the size of the fleet is not known yet.
-  return hosts > 1 && rank_ * hosts < kStandbys;
+  return hosts > 1 && rank_ * hosts < kMeanStandbys;
 }
 
-SubscriptionMode TableSharing::Choice(const TableSubscriber& follower,
-                                      const FleetPlace& place,
-                                      absl::Time now) const {
-  const bool linked = now - others_heard_ <= kUnlinked;
-  if (place.is_aggregator || !linked) return SubscriptionMode::kAlways;
-  if (IsStandby(place.known_hosts)) return SubscriptionMode::kStandby;
-  return OthersFollow(follower) ? SubscriptionMode::kPassive
-                                : SubscriptionMode::kProbing;
+SubscriptionMode TableSharing::ChooseMode(const TableSubscriber& subscriber,
+                                          const FleetRole& role,
+                                          absl::Time now) const {
+  const bool connected = now - peers_received_ <= kPeersTimeout;
+  if (role.is_aggregator || !connected) return SubscriptionMode::kAlways;
+  if (IsStandby(role.known_hosts)) return SubscriptionMode::kStandby;
+  return HasSubscribedPeer(subscriber) ? SubscriptionMode::kPassive
+                                       : SubscriptionMode::kProbing;
 }
 
-void TableSharing::Choose(const FleetPlace& place, absl::Time now) {
-  place_ = place;
+void TableSharing::UpdateModes(const FleetRole& role, absl::Time now) {
+  role_ = role;
   const bool reaches =
-      std::all_of(followers_.begin(), followers_.end(),
+      std::all_of(subscribers_.begin(), subscribers_.end(),
                   [](const TableSubscriber* one) { return one->up(); });
-  const bool watches = place.is_aggregator && watch_.IsMonitor(reaches, now);
-  for (TableSubscriber* follower : followers_) {
-    follower->SetMonitoring(watches);
-    follower->SetMode(Choice(*follower, place, now),
-                      kProbePerHost * place.known_hosts);
+  const bool is_monitor =
+      role.is_aggregator && monitor_election_.IsMonitor(reaches, now);
+  for (TableSubscriber* subscriber : subscribers_) {
+    subscriber->SetMonitoring(is_monitor);
+    subscriber->SetMode(ChooseMode(*subscriber, role, now),
+                        kProbeIntervalPerHost * role.known_hosts);
   }
 }
 
--- a/src/gateway/table_sharing.h
+++ b/src/gateway/table_sharing.h
@@ -21,64 +21,64 @@
 
 #include "absl/time/time.h"
 #include "gateway/fleet_messages.h"
+#include "gateway/monitor_election.h"
 #include "gateway/table_subscriber.h"
-#include "gateway/table_watch.h"
 
 namespace gentianlb::gateway {
 
 // This host's role in the fleet, and the size of the fleet.
-struct FleetPlace {
+struct FleetRole {
   bool is_aggregator = false;  // This host is the aggregator of its zone.
   int known_hosts = 1;         // Number of known hosts, including this one.
-  auto operator<=>(const FleetPlace&) const = default;
+  auto operator<=>(const FleetRole&) const = default;
 };
 
 struct TableSharingHooks {
   // Sends changes to the live peers of the zone, if this host is the
   // aggregator.
-  std::function<void(const TableChanges& changes)> hand_on;
+  std::function<void(const TableChanges& changes)> propagate;
   // Sends a query to some peers, to different ones with each try.
-  std::function<void(const TableQuestion& query, int tries)> ask;
+  std::function<void(const TableQuery& query, int tries)> query;
   // Replies to a peer's query.
   std::function<void(const std::string& host, const TableChanges& changes)>
-      answer;
+      reply;
 };
 
 // Sets the subscription modes of this host and exchanges changes with peers.
 class TableSharing {
  public:
   // `followers` must outlive this object.
-  TableSharing(std::string host, std::vector<TableSubscriber*> followers,
+  TableSharing(std::string host, std::vector<TableSubscriber*> subscribers,
                TableSharingHooks hooks, absl::Time now);
 
   // Returns the state of this host's tables, to be published.
-  std::vector<TableState> Tell() const;
+  std::vector<TableState> TableStates() const;
   // Handles the merged state of all peers.
-  void HeardOthers(const FleetUpdate& others, absl::Time now);
+  void OnPeersUpdate(const FleetUpdate& peers, absl::Time now);
   // Handles another zone's state, if this host is an aggregator.
-  void HeardZone(const FleetUpdate& zone, absl::Time now);
+  void OnZoneUpdate(const FleetUpdate& zone, absl::Time now);
   // Applies changes that a peer propagates or replies with.
-  void Take(const TableChanges& changes);
+  void HandleMessage(const TableChanges& changes);
   // Replies to a peer's query, if this host has newer data.
-  void Take(const TableQuestion& query);
+  void HandleMessage(const TableQuery& query);
 
   // Sets the subscription modes. To be called once per period.
-  void Choose(const FleetPlace& place, absl::Time now);
+  void UpdateModes(const FleetRole& role, absl::Time now);
 
  private:
-  bool OthersFollow(const TableSubscriber& follower) const;
-  SubscriptionMode Choice(const TableSubscriber& follower,
-                          const FleetPlace& place, absl::Time now) const;
+  bool HasSubscribedPeer(const TableSubscriber& subscriber) const;
+  SubscriptionMode ChooseMode(const TableSubscriber& subscriber,
+                              const FleetRole& role, absl::Time now) const;
   // Returns whether this host is a standby in a fleet of `hosts` hosts.
   bool IsStandby(int hosts) const;
 
   const double rank_;  // Hash of this host's name, from 0 to below 1.
-  const std::vector<TableSubscriber*> followers_;
+  const std::vector<TableSubscriber*> subscribers_;
   const TableSharingHooks hooks_;
-  FleetPlace place_;
-  TableWatch watch_;
-  std::vector<TableState> others_tables_;  // Of the last update.
-  absl::Time others_heard_;
+  FleetRole role_;
+  MonitorElection monitor_election_;
+  std::vector<TableState> peer_tables_;  // Of the last update.
+  absl::Time peers_received_;
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/table_sharing_test.cc
+++ b/src/gateway/table_sharing_test.cc
@@ -22,7 +22,7 @@
 // Time between the failure of the service and the change.
 constexpr absl::Duration kShortly = absl::Milliseconds(80);
 
-using Message = std::variant<TableChanges, TableQuestion>;
+using Message = std::variant<TableChanges, TableQuery>;
 
 class SharingSite {
  public:
@@ -105,29 +105,28 @@
     member.sharing = std::make_unique<TableSharing>(
         name, std::vector<TableSubscriber*>{member.follower.get()},
         TableSharingHooks{
-            .hand_on =
+            .propagate =
                 [this, host](const TableChanges& changes) {
-                  Send(host->fleet->Followers(), changes);
+                  Send(host->fleet->LiveZonePeers(), changes);
                 },
-            .ask =
-                [this, host](const TableQuestion& query, int tries) {
+            .query =
+                [this, host](const TableQuery& query, int tries) {
                   Send(host->fleet->QueryTargets(tries, fleet_.random()),
                        query);
                 },
-            .answer =
-                [this](const std::string& to, const TableChanges& changes) {
-                  Send({to}, changes);
-                }},
+            .reply = [this](
+                         const std::string& to,
+                         const TableChanges& changes) { Send({to}, changes); }},
         now());
     TableSharing* sharing = member.sharing.get();
     host->compose = [sharing](FleetUpdate* own) {
-      own->tables = sharing->Tell();
+      own->tables = sharing->TableStates();
     };
     host->on_others = [this, sharing](const FleetUpdate& others) {
-      sharing->HeardOthers(others, now());
+      sharing->OnPeersUpdate(others, now());
     };
     host->on_zone = [this, sharing](const FleetUpdate& zone) {
-      sharing->HeardZone(zone, now());
+      sharing->OnZoneUpdate(zone, now());
     };
     member.follower->Start();
     return member;
@@ -141,8 +140,9 @@
     for (const auto& [to, message] : std::exchange(flying_, {})) {
       for (Member& member : members_) {
         if (member.host->entry.host != to) continue;
-        std::visit([&](const auto& held) { member.sharing->Take(held); },
-                   message);
+        std::visit(
+            [&](const auto& held) { member.sharing->HandleMessage(held); },
+            message);
       }
     }
   }
@@ -154,8 +154,8 @@
     Deliver();
     const int hosts = static_cast<int>(members_.size());
     for (Member& member : members_) {
-      member.sharing->Choose({member.host->fleet->is_aggregator(), hosts},
-                             now());
+      member.sharing->UpdateModes({member.host->fleet->is_aggregator(), hosts},
+                                  now());
     }
   }
 
--- a/src/gateway/silent_table_test.cc
+++ b/src/gateway/unresponsive_table_test.cc
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "gateway/fake_table_test.h"
+#include "gateway/monitor_election.h"
 #include "gateway/table_subscriber.h"
-#include "gateway/table_watch.h"
 
 namespace gentianlb::gateway {
 namespace {
@@ -22,7 +22,7 @@
   explicit Hosts(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) {
       const std::string name = "h" + std::to_string(i);
-      elections_.push_back(std::make_unique<TableWatch>(name, now));
+      elections_.push_back(std::make_unique<MonitorElection>(name, now));
       followers_.push_back(std::make_unique<TableSubscriber>(
           TableSubscriberOptions{.table = "t"}, table.PortFor(i), &timers,
           [this] { return now; }, i + 1,
@@ -37,8 +37,7 @@
       now += kStep;
       timers.Advance(now);
       table.Step();
-      if ((now - start) % kUpdatePeriod == absl::ZeroDuration())
-        PublishStates();
+      if ((now - start) % kUpdatePeriod == absl::ZeroDuration()) Publish();
     }
   }
 
@@ -55,7 +54,7 @@
   FakeTableService table{&now};
 
  private:
-  void PublishStates() {
+  void Publish() {
     for (std::size_t from = 0; from < followers_.size(); ++from) {
       FleetUpdate update;
       update.sender.host = "h" + std::to_string(from);
@@ -74,7 +73,7 @@
     }
   }
 
-  std::vector<std::unique_ptr<TableWatch>> elections_;
+  std::vector<std::unique_ptr<MonitorElection>> elections_;
   std::vector<std::unique_ptr<TableSubscriber>> followers_;
 };
 
--- a/src/gateway/wire_lists.h
+++ b/src/gateway/wire_lists.h
@@ -21,12 +21,12 @@
 
 // Maximum items of a list and bytes of a short string; more than any message
 // of a large site needs. Longer ones are cut when written.
-inline constexpr std::size_t kMostWireItems = 4096;
+inline constexpr std::size_t kMaxWireItems = 4096;
 
 template <typename List, typename WriteItem>
 void WriteList(WireWriter& writer, const List& list, WriteItem write_item) {
   const auto count =
-      static_cast<std::uint16_t>(std::min(list.size(), kMostWireItems));
+      static_cast<std::uint16_t>(std::min(list.size(), kMaxWireItems));
   writer(count);
   for (std::uint16_t i = 0; i < count; ++i) write_item(list[i]);
 }
@@ -35,14 +35,14 @@
 void ReadList(WireReader& reader, List* list, ReadItem read_item) {
   std::uint16_t count = 0;
   reader(count);
-  if (count > kMostWireItems) throw std::length_error("too many items");
+  if (count > kMaxWireItems) throw std::length_error("too many items");
   list->resize(count);
   for (auto& item : *list) read_item(item);
 }
 
 inline void WriteText(WireWriter& writer, const std::string& text) {
   const auto count =
-      static_cast<std::uint16_t>(std::min(text.size(), kMostWireItems));
+      static_cast<std::uint16_t>(std::min(text.size(), kMaxWireItems));
   writer(count);
   writer.saveBinary<1>(text.data(), count);
 }
@@ -50,7 +50,7 @@
 inline void ReadText(WireReader& reader, std::string* text) {
   std::uint16_t count = 0;
   reader(count);
-  if (count > kMostWireItems) throw std::length_error("text too long");
+  if (count > kMaxWireItems) throw std::length_error("text too long");
   text->resize(count);
   reader.loadBinary<1>(text->data(), count);
 }
