--- a/src/gateway/demand_test.cc
+++ b/src/gateway/demand_test.cc
@@ -114,7 +114,7 @@
       host.compose = [this, fake](FleetUpdate* own) {
         own->workspaces = fake->demand.Tell(fleet_.now);
       };
-      host.on_others = [this, fake](const FleetUpdate& others) {
+      host.on_peers = [this, fake](const FleetUpdate& others) {
         fake->Take(others, fleet_.now);
       };
     }
--- a/src/gateway/fleet_site_test.h
+++ b/src/gateway/fleet_site_test.h
@@ -31,10 +31,10 @@
     int side = 0;  // Hosts of different sides are cut off from each other.
     std::int64_t incarnation = 0;
     absl::Duration clock_behind;  // How far its clock is behind `now`.
-    FleetUpdate others;  // The last update; lists of the last detailed one.
-    absl::Time others_at = absl::InfinitePast();
+    FleetUpdate peers;  // The last update; lists of the last detailed one.
+    absl::Time peers_at = absl::InfinitePast();
     std::function<void(FleetUpdate* own)> compose;
-    std::function<void(const FleetUpdate& others)> on_others;
+    std::function<void(const FleetUpdate& peers)> on_peers;
     std::function<void(const FleetUpdate& zone)> on_zone;
     int sent = 0;
     std::size_t sent_bytes = 0;
@@ -68,15 +68,15 @@
     hooks.compose = [host](FleetUpdate* own) {
       if (host->compose) host->compose(own);
     };
-    hooks.on_peers = [this, host](const FleetUpdate& others) {
-      FleetUpdate latest = others;
+    hooks.on_peers = [this, host](const FleetUpdate& peers) {
+      FleetUpdate latest = peers;
       if (!latest.detailed) {
-        latest.dispatchers = host->others.dispatchers;
-        latest.servers = host->others.servers;
+        latest.dispatchers = host->peers.dispatchers;
+        latest.servers = host->peers.servers;
       }
-      host->others = std::move(latest);
-      host->others_at = now;
-      if (host->on_others) host->on_others(others);
+      host->peers = std::move(latest);
+      host->peers_at = now;
+      if (host->on_peers) host->on_peers(peers);
     };
     hooks.on_zone = [host](const FleetUpdate& zone) {
       if (host->on_zone) host->on_zone(zone);
@@ -89,8 +89,8 @@
     host->fleet =
         std::make_unique<Fleet>(host->entry, ++host->incarnation,
                                 std::move(hooks), now - host->clock_behind);
-    host->others = FleetUpdate();
-    host->others_at = absl::InfinitePast();
+    host->peers = FleetUpdate();
+    host->peers_at = absl::InfinitePast();
     host->up = true;
     host->frozen = false;
     host->due = now + absl::Milliseconds(random() % 50);
@@ -129,8 +129,8 @@
   int CountUninformed(int count) {
     int uninformed = 0;
     for (const Host* host : Up()) {
-      const bool fresh = now - host->others_at <= absl::Seconds(1);
-      const bool all = host->others.hosts == count && host->others.complete;
+      const bool fresh = now - host->peers_at <= absl::Seconds(1);
+      const bool all = host->peers.hosts == count && host->peers.complete;
       if (!fresh || !all) ++uninformed;
     }
     return uninformed;
--- a/src/gateway/fleet_test.cc
+++ b/src/gateway/fleet_test.cc
@@ -89,9 +89,9 @@
     host.compose = [&, name](FleetUpdate* own) {
       own->workspaces = {{kWorkspace, 1, let_through[name]}};
     };
-    host.on_others = [&, name](const FleetUpdate& others) {
+    host.on_peers = [&, name](const FleetUpdate& peers) {
       for (const UseGrowth& growth :
-           counters[name].Take(others.incarnation, others.workspaces)) {
+           counters[name].Take(peers.incarnation, peers.workspaces)) {
         counted[name] += growth.let_through;
       }
     };
@@ -128,12 +128,12 @@
     for (const std::string& name : killed) site.Kill(name);
     site.Pass(absl::Milliseconds(3500));
     for (const FleetSite::Host* host : site.Up()) {
-      const bool fresh = site.now - host->others_at <= absl::Seconds(1);
+      const bool fresh = site.now - host->peers_at <= absl::Seconds(1);
       BOOST_TEST(fresh, "seed " << seed << " host " << host->entry.host);
-      for (const HostEntry& dispatcher : host->others.dispatchers) {
+      for (const HostEntry& dispatcher : host->peers.dispatchers) {
         BOOST_TEST(site.hosts.at(dispatcher.host).up);
       }
-      BOOST_TEST(!host->others.dispatchers.empty());
+      BOOST_TEST(!host->peers.dispatchers.empty());
     }
     for (const std::string& name : killed) site.Start(name);
     site.Pass(absl::Seconds(3));
@@ -155,17 +155,17 @@
     if (host->fleet->is_aggregator()) frozen = host;
   }
   BOOST_REQUIRE(frozen != nullptr);
-  const std::size_t dispatchers = frozen->others.dispatchers.size();
+  const std::size_t dispatchers = frozen->peers.dispatchers.size();
   frozen->frozen = true;
   site.Pass(absl::Seconds(2));
   // All other hosts miss the frozen one and receive the state of the rest.
   BOOST_TEST(site.CountUninformed(58) == 60 - 1);
   for (FleetSite::Host* host : site.Up()) {
-    BOOST_TEST(host->others.hosts == 58);
-    host->on_others = [&](const FleetUpdate& others) {
-      BOOST_TEST(others.hosts >= 58);
-      if (!others.detailed) return;
-      BOOST_TEST(others.dispatchers.size() + 1 >= dispatchers);
+    BOOST_TEST(host->peers.hosts == 58);
+    host->on_peers = [&](const FleetUpdate& peers) {
+      BOOST_TEST(peers.hosts >= 58);
+      if (!peers.detailed) return;
+      BOOST_TEST(peers.dispatchers.size() + 1 >= dispatchers);
     };
   }
   site.Pass(absl::Seconds(1));
@@ -183,9 +183,9 @@
   for (auto& [name, host] : site.hosts) host.side = host.entry.zone == "z0";
   site.Pass(absl::Seconds(10));
   for (const FleetSite::Host* host : site.Up()) {
-    BOOST_TEST(host->others.hosts == (host->side == 1 ? 19 : 39));
-    BOOST_TEST(!host->others.complete);
-    for (const HostEntry& dispatcher : host->others.dispatchers) {
+    BOOST_TEST(host->peers.hosts == (host->side == 1 ? 19 : 39));
+    BOOST_TEST(!host->peers.complete);
+    for (const HostEntry& dispatcher : host->peers.dispatchers) {
       BOOST_TEST((dispatcher.zone == "z0") == (host->side == 1));
     }
   }
--- a/src/gateway/table_sharing_test.cc
+++ b/src/gateway/table_sharing_test.cc
@@ -122,7 +122,7 @@
     host->compose = [sharing](FleetUpdate* own) {
       own->tables = sharing->TableStates();
     };
-    host->on_others = [this, sharing](const FleetUpdate& others) {
+    host->on_peers = [this, sharing](const FleetUpdate& others) {
       sharing->OnPeersUpdate(others, now());
     };
     host->on_zone = [this, sharing](const FleetUpdate& zone) {
