--- a/src/gateway/fake_table_test.h
+++ b/src/gateway/fake_table_test.h
@@ -50,7 +50,8 @@
     for (Call& call : calls_) call.unanswered |= on;
   }
 
-  // Cuts the host's connections. Its open call fails after kConnectTimeout.
+  // Cuts a host off from the service and its peers. Its open call fails after
+  // kConnectTimeout.
   void Cut(std::size_t host) {
     cut = host;
     for (Call& call : calls_) {
@@ -88,7 +89,7 @@
   std::uint64_t version() const { return version_; }
 
   bool unresponsive = false;
-  std::size_t cut = static_cast<std::size_t>(-1);
+  std::size_t cut = static_cast<std::size_t>(-1);  // Host that is cut off.
   std::set<std::size_t> refused;  // Hosts whose calls fail at once.
   int calls = 0;
 
--- a/src/gateway/table_subscriber.cc
+++ b/src/gateway/table_subscriber.cc
@@ -9,8 +9,8 @@
 
 namespace gentianlb::gateway {
 
-std::string_view NameOf(SubscriptionMode following) {
-  switch (following) {
+std::string_view NameOf(SubscriptionMode mode) {
+  switch (mode) {
     case SubscriptionMode::kAlways:
       return "always";
     case SubscriptionMode::kStandby:
@@ -37,8 +37,8 @@
       random_(seed) {}
 
 TableSubscriber::~TableSubscriber() {
-  timers_->Cancel(retry_);
-  timers_->Cancel(behind_);
+  timers_->Cancel(retry_timer_);
+  timers_->Cancel(lag_timer_);
 }
 
 void TableSubscriber::Start() { Read(""); }
@@ -53,147 +53,150 @@
 void TableSubscriber::Read(const std::string& from) {
   if (from.empty()) rows_.clear();
   port_.read(options_.table, from, Guard([this, from](TableAnswer answer) {
-               TakeRead(from, std::move(answer));
+               OnReadAnswer(from, std::move(answer));
              }));
 }
 
-void TableSubscriber::TakeRead(const std::string& from, TableAnswer answer) {
+void TableSubscriber::OnReadAnswer(const std::string& from,
+                                   TableAnswer answer) {
   if (const auto* failure = std::get_if<TableFailure>(&answer)) {
-    Failed(*failure);
-    return Again([this, from] { Read(from); });
+    OnFailure(*failure);
+    return RetryLater([this, from] { Read(from); });
   }
-  Answered();
+  OnAnswer();
   auto& page = std::get<TablePage>(answer);
   // The pages have different versions. Reading changes from the version of the
   // first page returns those between the pages again.
-  if (from.empty()) read_from_ = page.version;
+  if (from.empty()) first_page_version_ = page.version;
   for (TableRow& row : page.rows) rows_.push_back(std::move(row));
   if (page.more && !rows_.empty()) {
     // The smallest key after the last one.
     return Read(rows_.back().key + '\0');
   }
-  if (complete_ && read_from_ < version_) {
+  if (complete_ && first_page_version_ < version_) {
     // The read is older than the copy: removed servers would reappear.
     LOG(WARNING) << "event=table-read-old table=" << options_.table
-                 << " version=" << version_ << " read=" << read_from_;
-    return Again([this] { Read(""); });
+                 << " version=" << version_ << " read=" << first_page_version_;
+    return RetryLater([this] { Read(""); });
   }
-  TakeWhole(std::exchange(rows_, {}), read_from_);
-  if (FollowsAlways()) return Follow();
-  GoOn();
+  ReplaceAll(std::exchange(rows_, {}), first_page_version_);
+  if (IsPollingMode()) return Poll();
+  ContinueOrIdle();
 }
 
-void TableSubscriber::TakeWhole(const std::vector<TableRow>& rows,
-                                std::uint64_t version) {
+void TableSubscriber::ReplaceAll(const std::vector<TableRow>& rows,
+                                 std::uint64_t version) {
   version_ = version;
   complete_ = true;
   copy_.Replace(rows, version);
-  NoteCaughtUp();
-  NoteVersions(rows);
+  RecordCaughtUp();
+  RecordVersions(rows);
   on_rows_(rows, /*whole=*/true, clock_());
 }
 
-bool TableSubscriber::MayFollow() const {
-  return FollowsAlways() || heard_of_ > version_ ||
+bool TableSubscriber::MayPoll() const {
+  return IsPollingMode() || peers_newest_ > version_ ||
          (mode_ == SubscriptionMode::kProbing && probe_answered_);
 }
 
-void TableSubscriber::GoOn() {
-  if (MayFollow()) return FollowSoon();
+void TableSubscriber::ContinueOrIdle() {
+  if (MayPoll()) return PollSoon();
   idle_ = true;
-  if (mode_ == SubscriptionMode::kProbing) ProbeLater();
+  if (mode_ == SubscriptionMode::kProbing) ScheduleProbe();
 }
 
-absl::Duration TableSubscriber::UntilProbe() {
+absl::Duration TableSubscriber::ProbeDelay() {
   // Hosts that lost the service together must not all probe at once. The first
   // probes spread over the whole period, because with many hosts half a period
   // without any probe would be seconds.
-  const double draw = std::exchange(probed_, true)
-                          ? absl::Uniform(random_, 0.5, 1.5)
-                          : absl::Uniform(random_, 0.0, 1.0);
-  return draw * probe_period_;
+  const double fraction = std::exchange(probed_, true)
+                              ? absl::Uniform(random_, 0.5, 1.5)
+                              : absl::Uniform(random_, 0.0, 1.0);
+  return fraction * probe_period_;
 }
 
-void TableSubscriber::ProbeLater() {
-  retry_ =
-      timers_->At(clock_() + UntilProbe(), [this](absl::Time) { Follow(); });
+void TableSubscriber::ScheduleProbe() {
+  retry_timer_ =
+      timers_->At(clock_() + ProbeDelay(), [this](absl::Time) { Poll(); });
 }
 
-void TableSubscriber::SetMode(SubscriptionMode following,
+void TableSubscriber::SetMode(SubscriptionMode mode,
                               absl::Duration probe_period) {
   probe_period_ = probe_period;
-  if (mode_ == following) return;
+  if (mode_ == mode) return;
   LOG(INFO) << "event=following table=" << options_.table
-            << " how=" << NameOf(following) << " before=" << NameOf(mode_)
+            << " how=" << NameOf(mode) << " before=" << NameOf(mode_)
             << " version=" << version_ << " up=" << up_;
-  mode_ = following;
+  mode_ = mode;
   probed_ = false;
   probe_answered_ = false;
   if (!complete_ || !idle_) return;
-  timers_->Cancel(retry_);
-  GoOn();
+  timers_->Cancel(retry_timer_);
+  ContinueOrIdle();
 }
 
-void TableSubscriber::FollowSoon() {
+void TableSubscriber::PollSoon() {
   idle_ = false;
-  const absl::Time due = followed_ + (mode_ == SubscriptionMode::kStandby
-                                          ? options_.standby_interval
-                                          : options_.interval);
-  if (due <= clock_()) return Follow();
-  retry_ = timers_->At(due, [this](absl::Time) { Follow(); });
+  const absl::Time due = last_poll_ + (mode_ == SubscriptionMode::kStandby
+                                           ? options_.standby_interval
+                                           : options_.interval);
+  if (due <= clock_()) return Poll();
+  retry_timer_ = timers_->At(due, [this](absl::Time) { Poll(); });
 }
 
-void TableSubscriber::Follow() {
-  timers_->Cancel(retry_);
-  followed_ = clock_();
-  following_ = true;
+void TableSubscriber::Poll() {
+  timers_->Cancel(retry_timer_);
+  last_poll_ = clock_();
+  polling_ = true;
   idle_ = false;
-  const bool doubtful = watching_ || !up_ || heard_of_ > version_ ||
-                        mode_ == SubscriptionMode::kProbing;
-  follow_wait_ = doubtful ? options_.short_wait : options_.wait;
-  port_.poll_changes(
-      options_.table, version_, follow_wait_,
-      Guard([this](TableAnswer answer) { TakeChanges(std::move(answer)); }));
+  const bool use_short_wait = monitoring_ || !up_ || peers_newest_ > version_ ||
+                              mode_ == SubscriptionMode::kProbing;
+  poll_wait_ = use_short_wait ? options_.short_wait : options_.wait;
+  port_.poll_changes(options_.table, version_, poll_wait_,
+                     Guard([this](TableAnswer answer) {
+                       OnChangesAnswer(std::move(answer));
+                     }));
 }
 
-void TableSubscriber::AskAnew() {
+void TableSubscriber::PollAgain() {
   LOG(INFO) << "event=table-asked-anew table=" << options_.table
-            << " version=" << version_ << " heard_of=" << heard_of_
-            << " watching=" << watching_;
-  Follow();
+            << " version=" << version_ << " heard_of=" << peers_newest_
+            << " watching=" << monitoring_;
+  Poll();
 }
 
-void TableSubscriber::SetMonitoring(bool watching) {
-  if (watching_ == watching) return;
-  watching_ = watching;
-  if (watching && following_ && follow_wait_ > options_.short_wait) AskAnew();
+void TableSubscriber::SetMonitoring(bool monitoring) {
+  if (monitoring_ == monitoring) return;
+  monitoring_ = monitoring;
+  if (monitoring && polling_ && poll_wait_ > options_.short_wait) PollAgain();
 }
 
-void TableSubscriber::RecordPeerHistory(const TableHistory& known) {
+void TableSubscriber::RecordPeerHistory(const TableHistory& history) {
   // Nothing changed after this host's version. Peers can vouch for that only if
   // they have the history since then: they don't know of removals before they
   // read the table.
   const bool vouched =
-      known.since <= version_ && known.newest_change <= version_;
-  if (complete_ && vouched) version_ = std::max(version_, known.version);
-  if (known.newest_change <= heard_of_) return;
-  heard_of_ = known.newest_change;
-  if (heard_of_ <= version_ || behind_ != 0) return;
-  behind_ = timers_->At(clock_() + options_.behind, [this](absl::Time) {
-    behind_ = 0;
-    if (heard_of_ <= version_ || !complete_) return;
-    NoteBehind();
-    AskOthers();
-    if (following_) AskAnew();
-    if (idle_) FollowSoon();
-  });
+      history.since <= version_ && history.newest_change <= version_;
+  if (complete_ && vouched) version_ = std::max(version_, history.version);
+  if (history.newest_change <= peers_newest_) return;
+  peers_newest_ = history.newest_change;
+  if (peers_newest_ <= version_ || lag_timer_ != 0) return;
+  lag_timer_ =
+      timers_->At(clock_() + options_.lag_tolerance, [this](absl::Time) {
+        lag_timer_ = 0;
+        if (peers_newest_ <= version_ || !complete_) return;
+        RecordLag();
+        QueryPeers();
+        if (polling_) PollAgain();
+        if (idle_) PollSoon();
+      });
 }
 
 bool TableSubscriber::ApplyPropagated(std::uint64_t since,
                                       const TablePage& page) {
   if (complete_ && page.version <= version_) return false;
   if (since == 0) {
-    TakeWhole(page.rows, page.version);
+    ReplaceAll(page.rows, page.version);
     return true;
   }
   if (!complete_) return false;
@@ -208,59 +211,59 @@
   return true;
 }
 
-void TableSubscriber::AskOthers() {
-  if (!Lacks() || !on_missing_) return;
-  on_missing_(complete_ ? version_ : 0, asked_others_++);
+void TableSubscriber::QueryPeers() {
+  if (!LacksData() || !on_missing_) return;
+  on_missing_(complete_ ? version_ : 0, peer_queries_++);
 }
 
-void TableSubscriber::NoteBehind() {
-  if (behind_since_ != absl::InfiniteFuture()) return;
-  behind_since_ = clock_();
+void TableSubscriber::RecordLag() {
+  if (lag_since_ != absl::InfiniteFuture()) return;
+  lag_since_ = clock_();
   LOG(INFO) << "event=table-behind table=" << options_.table
-            << " version=" << version_ << " heard_of=" << heard_of_
+            << " version=" << version_ << " heard_of=" << peers_newest_
             << " how=" << NameOf(mode_) << " up=" << up_;
 }
 
-void TableSubscriber::NoteCaughtUp() {
-  if (!Lacks()) asked_others_ = 0;
-  if (behind_since_ == absl::InfiniteFuture() || version_ < heard_of_) return;
+void TableSubscriber::RecordCaughtUp() {
+  if (!LacksData()) peer_queries_ = 0;
+  if (lag_since_ == absl::InfiniteFuture() || version_ < peers_newest_) return;
   LOG(INFO) << "event=table-caught-up table=" << options_.table
             << " version=" << version_ << " behind_ms="
-            << absl::ToInt64Milliseconds(clock_() - behind_since_);
-  behind_since_ = absl::InfiniteFuture();
+            << absl::ToInt64Milliseconds(clock_() - lag_since_);
+  lag_since_ = absl::InfiniteFuture();
 }
 
 absl::Duration TableSubscriber::Lag() const {
-  return std::max(absl::ZeroDuration(), clock_() - behind_since_);
+  return std::max(absl::ZeroDuration(), clock_() - lag_since_);
 }
 
 void TableSubscriber::Apply(const TablePage& page) {
   version_ = page.version;
   copy_.Apply(page.rows, page.version);
-  NoteCaughtUp();
-  NoteVersions(page.rows);
+  RecordCaughtUp();
+  RecordVersions(page.rows);
   if (!page.rows.empty()) on_rows_(page.rows, /*whole=*/false, clock_());
 }
 
-void TableSubscriber::NoteVersions(const std::vector<TableRow>& rows) {
+void TableSubscriber::RecordVersions(const std::vector<TableRow>& rows) {
   for (const TableRow& row : rows) {
     newest_change_ = std::max(newest_change_, row.version);
   }
 }
 
-void TableSubscriber::TakeChanges(TableAnswer answer) {
-  following_ = false;
+void TableSubscriber::OnChangesAnswer(TableAnswer answer) {
+  polling_ = false;
   if (const auto* failure = std::get_if<TableFailure>(&answer)) {
     if (*failure == TableFailure::kHistoryGone) {
       LOG(INFO) << "event=history-gone table=" << options_.table
                 << " version=" << version_;
-      return Again([this] { Read(""); });
+      return RetryLater([this] { Read(""); });
     }
-    Failed(*failure);
-    if (!MayFollow()) return GoOn();
-    return Again([this] { Follow(); });
+    OnFailure(*failure);
+    if (!MayPoll()) return ContinueOrIdle();
+    return RetryLater([this] { Poll(); });
   }
-  Answered();
+  OnAnswer();
   const auto& page = std::get<TablePage>(answer);
   const std::uint64_t since = version_;
   // A newer change may have been propagated meanwhile.
@@ -269,13 +272,13 @@
   if (on_changes_ && !page.rows.empty()) {
     on_changes_(since, ChangesSince(since));
   }
-  GoOn();
+  ContinueOrIdle();
 }
 
-void TableSubscriber::Failed(TableFailure /*failure*/) {
+void TableSubscriber::OnFailure(TableFailure /*failure*/) {
   ++failures_;
   probe_answered_ = false;
-  AskOthers();
+  QueryPeers();
   if (!up_) return;
   up_ = false;
   LOG(WARNING) << "event=table-lost table=" << options_.table
@@ -283,7 +286,7 @@
   on_state_(false, clock_());
 }
 
-void TableSubscriber::Answered() {
+void TableSubscriber::OnAnswer() {
   failures_ = 0;
   probe_answered_ = true;
   if (up_) return;
@@ -293,12 +296,12 @@
   on_state_(true, clock_());
 }
 
-void TableSubscriber::Again(std::function<void()> call) {
+void TableSubscriber::RetryLater(std::function<void()> call) {
   constexpr double kSteps = 1 << 20;
-  const double draw = static_cast<double>(random_() % (1 << 20)) / kSteps;
-  const absl::Duration delay = RetryDelay(options_.retry, failures_, draw);
-  retry_ = timers_->At(clock_() + delay,
-                       [call = std::move(call)](absl::Time) { call(); });
+  const double fraction = static_cast<double>(random_() % (1 << 20)) / kSteps;
+  const absl::Duration delay = RetryDelay(options_.retry, failures_, fraction);
+  retry_timer_ = timers_->At(clock_() + delay,
+                             [call = std::move(call)](absl::Time) { call(); });
 }
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/table_subscriber.h
+++ b/src/gateway/table_subscriber.h
@@ -69,8 +69,8 @@
 struct TableSubscriberOptions {
   std::string table;
   // How long a call waits for a change: as long as the service allows, since
-  // each call costs it as much as a read. Probes of the connection detect a
-  // dead one.
+  // each call costs it as much as a read. Keepalive probes detect a dead
+  // connection.
   absl::Duration wait = absl::Seconds(29);
   // The wait while the service may be unresponsive. With the one second that an
   // answer may take, the outage is detected after two seconds, within the three
@@ -78,7 +78,7 @@
   absl::Duration short_wait = absl::Seconds(1);
   // How much later than its peers this host may receive a change, before it
   // requests it. Messages and answers of the service take some milliseconds.
-  absl::Duration behind = absl::Milliseconds(200);
+  absl::Duration lag_tolerance = absl::Milliseconds(200);
   // Minimum interval between calls. Changes come in series, as when servers are
   // replaced one after the other, so one call then returns several. Short
   // against the two seconds in which a change must be in force.
@@ -104,7 +104,7 @@
   kProbing,
 };
 
-std::string_view NameOf(SubscriptionMode following);
+std::string_view NameOf(SubscriptionMode mode);
 
 // Keeps a copy of one table and reports its changes to the owner.
 class TableSubscriber {
@@ -135,10 +135,10 @@
 
   // Sets whether this host always polls with short waits, to detect an
   // unresponsive service for its peers.
-  void SetMonitoring(bool watching);
+  void SetMonitoring(bool monitoring);
 
   // Sets the mode and the mean interval between probes of kProbing.
-  void SetMode(SubscriptionMode following, absl::Duration probe_period);
+  void SetMode(SubscriptionMode mode, absl::Duration probe_period);
   void SetOnChanges(OnChanges on_changes) {
     on_changes_ = std::move(on_changes);
   }
@@ -147,8 +147,8 @@
   }
 
   // Records the history that peers have, and requests changes that this host
-  // still lacks after options.behind.
-  void RecordPeerHistory(const TableHistory& known);
+  // still lacks after options.lag_tolerance.
+  void RecordPeerHistory(const TableHistory& history);
   // Applies changes after `since` that a peer propagates; 0: all rows. Returns
   // whether the copy is newer than before.
   bool ApplyPropagated(std::uint64_t since, const TablePage& page);
@@ -180,37 +180,37 @@
 
  private:
   void Read(const std::string& from);
-  bool FollowsAlways() const {
+  bool IsPollingMode() const {
     return mode_ == SubscriptionMode::kAlways ||
            mode_ == SubscriptionMode::kStandby;
   }
   // Polls once the minimum interval since the last call is over.
-  void FollowSoon();
+  void PollSoon();
   // Calls the service for changes.
-  void Follow();
-  bool MayFollow() const;
+  void Poll();
+  bool MayPoll() const;
   // Polls again if the mode or a missing change requires it, else becomes idle.
-  void GoOn();
-  void ProbeLater();
+  void ContinueOrIdle();
+  void ScheduleProbe();
   // Returns the random delay until the next probe of the service.
-  absl::Duration UntilProbe();
+  absl::Duration ProbeDelay();
   // Applies changes after version_.
   void Apply(const TablePage& page);
   // Replaces the copy by `rows`, the whole table at `version`.
-  void TakeWhole(const std::vector<TableRow>& rows, std::uint64_t version);
-  bool Lacks() const { return !complete_ || heard_of_ > version_; }
-  void AskOthers();
-  void NoteBehind();
-  void NoteCaughtUp();
+  void ReplaceAll(const std::vector<TableRow>& rows, std::uint64_t version);
+  bool LacksData() const { return !complete_ || peers_newest_ > version_; }
+  void QueryPeers();
+  void RecordLag();
+  void RecordCaughtUp();
   // Abandons the waiting call and makes a new one.
-  void AskAnew();
-  void TakeRead(const std::string& from, TableAnswer answer);
-  void TakeChanges(TableAnswer answer);
-  void NoteVersions(const std::vector<TableRow>& rows);
-  void Failed(TableFailure failure);
-  void Answered();
+  void PollAgain();
+  void OnReadAnswer(const std::string& from, TableAnswer answer);
+  void OnChangesAnswer(TableAnswer answer);
+  void RecordVersions(const std::vector<TableRow>& rows);
+  void OnFailure(TableFailure failure);
+  void OnAnswer();
   // Runs `call` after the next retry delay.
-  void Again(std::function<void()> call);
+  void RetryLater(std::function<void()> call);
   // Returns a callback that runs `done` unless this object is destroyed or has
   // made a later call.
   TableDone Guard(std::function<void(TableAnswer)> done);
@@ -226,28 +226,28 @@
   std::mt19937_64 random_;
 
   TableCopy copy_;
-  std::vector<TableRow> rows_;   // Rows of the pages read so far.
-  std::uint64_t read_from_ = 0;  // Version of the first page.
+  std::vector<TableRow> rows_;            // Rows of the pages read so far.
+  std::uint64_t first_page_version_ = 0;  // Version of the first page.
   std::uint64_t version_ = 0;
   std::uint64_t newest_change_ = 0;
-  std::uint64_t heard_of_ = 0;  // Newest change that a peer has.
+  std::uint64_t peers_newest_ = 0;  // Newest change that a peer has.
   bool complete_ = false;
-  bool watching_ = false;
+  bool monitoring_ = false;
   SubscriptionMode mode_ = SubscriptionMode::kAlways;
   absl::Duration probe_period_;
   bool probed_ = false;  // Whether a probe was scheduled in this mode.
   bool probe_answered_ = false;
-  bool idle_ = false;           // No call is open; a probe may be scheduled.
-  bool following_ = false;      // A call waits for changes.
-  absl::Duration follow_wait_;  // The wait of the last call for changes.
-  std::uint64_t call_ = 0;      // Number of the last call.
+  bool idle_ = false;         // No call is open; a probe may be scheduled.
+  bool polling_ = false;      // A call waits for changes.
+  absl::Duration poll_wait_;  // The wait of the last call for changes.
+  std::uint64_t call_ = 0;    // Number of the last call.
   bool up_ = true;
   int failures_ = 0;
-  int asked_others_ = 0;  // Queries of peers since this host lacks data.
-  absl::Time followed_ = absl::InfinitePast();  // Start of the last poll.
-  TimerId retry_ = 0;
-  TimerId behind_ = 0;
-  absl::Time behind_since_ = absl::InfiniteFuture();
+  int peer_queries_ = 0;  // Queries of peers since this host lacks data.
+  absl::Time last_poll_ = absl::InfinitePast();  // Start of the last poll.
+  TimerId retry_timer_ = 0;
+  TimerId lag_timer_ = 0;
+  absl::Time lag_since_ = absl::InfiniteFuture();
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/src/gateway/table_subscriber_test.cc
+++ b/src/gateway/table_subscriber_test.cc
@@ -11,7 +11,7 @@
   struct Call {
     std::string from;
     std::uint64_t since = 0;
-    bool follows = false;
+    bool polls = false;
     TableDone done;
     absl::Duration wait;
   };
@@ -41,16 +41,16 @@
 
 struct Fixture {
   Fixture()
-      : follower(
+      : subscriber(
             {.table = "t"}, table.Port(), &timers, [this] { return now; }, 1,
             [this](const std::vector<TableRow>& rows, bool whole, absl::Time) {
-              got.push_back(whole ? "whole" : "change");
-              for (const TableRow& row : rows) got.back() += " " + row.key;
+              events.push_back(whole ? "whole" : "change");
+              for (const TableRow& row : rows) events.back() += " " + row.key;
             },
             [this](bool up, absl::Time) {
-              got.push_back(up ? "up" : "down");
+              events.push_back(up ? "up" : "down");
             }) {
-    follower.Start();
+    subscriber.Start();
   }
 
   void Pass(absl::Duration span) {
@@ -61,8 +61,8 @@
   FakeTable table;
   TimerService timers;
   absl::Time now = absl::UnixEpoch() + absl::Hours(1);
-  std::vector<std::string> got;
-  TableSubscriber follower;
+  std::vector<std::string> events;
+  TableSubscriber subscriber;
 };
 
 TablePage Page(std::vector<std::string> keys, std::uint64_t version,
@@ -80,14 +80,14 @@
   table.Next().done(Page({"a", "b"}, 10, true));
   FakeTable::Call second = table.Next();
   BOOST_TEST(second.from == std::string("b\0", 2));
-  BOOST_TEST(!follower.complete());
+  BOOST_TEST(!subscriber.complete());
   second.done(Page({"c"}, 14));
-  BOOST_TEST((got == Strings{"whole a b c"}));
+  BOOST_TEST((events == Strings{"whole a b c"}));
   // Changes between the pages are read again.
-  FakeTable::Call follow = table.Next();
-  BOOST_TEST(follow.since == 10u);
-  follow.done(Page({"a"}, 15));
-  BOOST_TEST((got == Strings{"whole a b c", "change a"}));
+  FakeTable::Call poll = table.Next();
+  BOOST_TEST(poll.since == 10u);
+  poll.done(Page({"a"}, 15));
+  BOOST_TEST((events == Strings{"whole a b c", "change a"}));
   // The next call waits, as further changes are likely to follow soon.
   BOOST_TEST(table.calls.empty());
   Pass(absl::Milliseconds(300));
@@ -104,11 +104,11 @@
     BOOST_TEST(table.calls.empty());  // The retry is delayed.
     Pass(absl::Seconds(1));
   }
-  BOOST_TEST((got == Strings{"whole a", "down"}));
+  BOOST_TEST((events == Strings{"whole a", "down"}));
   FakeTable::Call back = table.Next();
   BOOST_TEST(back.since == 10u);
   back.done(Page({"b"}, 20));
-  BOOST_TEST((got == Strings{"whole a", "down", "up", "change b"}));
+  BOOST_TEST((events == Strings{"whole a", "down", "up", "change b"}));
 }
 
 // The service has dropped the history since the host's version. Changes may be
@@ -118,17 +118,17 @@
   table.Next().done(Page({"a"}, 10));
   table.Next().done(TableFailure::kHistoryGone);
   Pass(absl::Seconds(1));
-  FakeTable::Call again = table.Next();
-  BOOST_TEST(!again.follows);
-  again.done(Page({"b"}, 30));
-  BOOST_TEST((got == Strings{"whole a", "whole b"}));
+  FakeTable::Call second = table.Next();
+  BOOST_TEST(!second.polls);
+  second.done(Page({"b"}, 30));
+  BOOST_TEST((events == Strings{"whole a", "whole b"}));
   BOOST_TEST(table.Next().since == 30u);
 }
 
 BOOST_FIXTURE_TEST_CASE(PollsAgainAfterAnAnswerWithoutChanges, Fixture) {
   table.Next().done(Page({}, 10));
   table.Next().done(Page({}, 12));
-  BOOST_TEST((got == Strings{"whole"}));
+  BOOST_TEST((events == Strings{"whole"}));
   Pass(absl::Milliseconds(300));
   BOOST_TEST(table.Next().since == 12u);
 }
@@ -147,20 +147,20 @@
   table.Next().done(Page({"a"}, 10));
   BOOST_TEST(table.Next().wait == absl::Seconds(29));
   // The first call is lost with its connection.
-  Fixture again;
-  again.table.Next().done(Page({"a"}, 10));
-  again.table.Next().done(TableFailure::kUnavailable);
-  again.Pass(absl::Seconds(1));
-  FakeTable::Call doubtful = again.table.Next();
-  BOOST_TEST(doubtful.wait == absl::Seconds(1));
+  Fixture second;
+  second.table.Next().done(Page({"a"}, 10));
+  second.table.Next().done(TableFailure::kUnavailable);
+  second.Pass(absl::Seconds(1));
+  FakeTable::Call short_poll = second.table.Next();
+  BOOST_TEST(short_poll.wait == absl::Seconds(1));
   // The adapter reports a timeout; the waits stay short until an answer comes.
-  doubtful.done(TableFailure::kUnavailable);
-  again.Pass(absl::Seconds(1));
-  FakeTable::Call next = again.table.Next();
+  short_poll.done(TableFailure::kUnavailable);
+  second.Pass(absl::Seconds(1));
+  FakeTable::Call next = second.table.Next();
   BOOST_TEST(next.wait == absl::Seconds(1));
   next.done(Page({}, 12));
-  again.Pass(absl::Milliseconds(300));
-  BOOST_TEST(again.table.Next().wait == absl::Seconds(29));
+  second.Pass(absl::Milliseconds(300));
+  BOOST_TEST(second.table.Next().wait == absl::Seconds(29));
 }
 
 // The service becomes unresponsive while a call waits and the connection stays
@@ -169,20 +169,20 @@
 // until its call ends.
 BOOST_FIXTURE_TEST_CASE(CallsAgainForAChangeThatAPeerHas, Fixture) {
   table.Next().done(Page({"a"}, 10));
-  FakeTable::Call silent = table.Next();
-  follower.RecordPeerHistory({15, 0, 15});
+  FakeTable::Call unanswered = table.Next();
+  subscriber.RecordPeerHistory({15, 0, 15});
   Pass(absl::Milliseconds(100));
   BOOST_TEST(table.calls.empty());  // The waiting call may yet be answered.
   Pass(absl::Milliseconds(100));
-  FakeTable::Call anew = table.Next();
-  BOOST_TEST(anew.since == 10u);
-  BOOST_TEST(anew.wait == absl::Seconds(1));
-  anew.done(Change("b", 15));
-  BOOST_TEST((got == Strings{"whole a", "change b"}));
-  BOOST_TEST(follower.newest_change() == 15u);
+  FakeTable::Call repeated = table.Next();
+  BOOST_TEST(repeated.since == 10u);
+  BOOST_TEST(repeated.wait == absl::Seconds(1));
+  repeated.done(Change("b", 15));
+  BOOST_TEST((events == Strings{"whole a", "change b"}));
+  BOOST_TEST(subscriber.newest_change() == 15u);
   // The answer of the abandoned call is ignored.
-  silent.done(Change("c", 16));
-  BOOST_TEST(got.size() == 2u);
+  unanswered.done(Change("c", 16));
+  BOOST_TEST(events.size() == 2u);
   Pass(absl::Milliseconds(300));
   BOOST_TEST(table.Next().wait == absl::Seconds(29));
 }
@@ -191,14 +191,14 @@
 // of hosts would make one for each change.
 BOOST_FIXTURE_TEST_CASE(AChangeThatArrivesInTimeCostsNoCall, Fixture) {
   table.Next().done(Page({"a"}, 10));
-  FakeTable::Call follow = table.Next();
-  follower.RecordPeerHistory({15, 0, 15});
+  FakeTable::Call poll = table.Next();
+  subscriber.RecordPeerHistory({15, 0, 15});
   Pass(absl::Milliseconds(50));
-  follow.done(Change("b", 15));
+  poll.done(Change("b", 15));
   Pass(absl::Seconds(1));
   BOOST_TEST(table.calls.size() == 1u);  // The next call for changes.
-  follower.RecordPeerHistory({15, 0, 15});
-  follower.RecordPeerHistory({9, 0, 9});
+  subscriber.RecordPeerHistory({15, 0, 15});
+  subscriber.RecordPeerHistory({9, 0, 9});
   Pass(absl::Seconds(1));
   BOOST_TEST(table.calls.size() == 1u);
 }
@@ -209,17 +209,17 @@
 BOOST_FIXTURE_TEST_CASE(TheMonitorPollsWithShortWaits, Fixture) {
   table.Next().done(Page({"a"}, 10));
   table.Next();  // Waits for 29 s.
-  follower.SetMonitoring(true);
-  FakeTable::Call watching = table.Next();
-  BOOST_TEST(watching.wait == absl::Seconds(1));
-  watching.done(TableFailure::kUnavailable);  // Not answered in time.
+  subscriber.SetMonitoring(true);
+  FakeTable::Call monitoring = table.Next();
+  BOOST_TEST(monitoring.wait == absl::Seconds(1));
+  monitoring.done(TableFailure::kUnavailable);  // Not answered in time.
   Pass(absl::Milliseconds(100));
   table.Next().done(Change("b", 20));
-  BOOST_TEST(follower.newest_change() == 20u);
+  BOOST_TEST(subscriber.newest_change() == 20u);
   Pass(absl::Milliseconds(300));
   BOOST_TEST(table.Next().wait == absl::Seconds(1));
   // When another host becomes the monitor, the waiting call is kept.
-  follower.SetMonitoring(false);
+  subscriber.SetMonitoring(false);
   BOOST_TEST(table.calls.empty());
 }
 
@@ -230,102 +230,104 @@
   return page;
 }
 
-struct ToldFixture : Fixture {
-  ToldFixture() {
-    follower.SetMode(SubscriptionMode::kPassive, absl::Seconds(10));
+struct PassiveFixture : Fixture {
+  PassiveFixture() {
+    subscriber.SetMode(SubscriptionMode::kPassive, absl::Seconds(10));
     table.Next().done(Page({"a"}, 10));
-    got.clear();
+    events.clear();
   }
 };
 
 // Hundreds of hosts receive each change from their zone's aggregator, without a
 // call of their own.
-BOOST_FIXTURE_TEST_CASE(APropagatedChangeNeedsNoCall, ToldFixture) {
-  follower.RecordPeerHistory({12, 0, 12});
-  follower.ApplyPropagated(10, Changed("b", 12));
+BOOST_FIXTURE_TEST_CASE(APropagatedChangeNeedsNoCall, PassiveFixture) {
+  subscriber.RecordPeerHistory({12, 0, 12});
+  subscriber.ApplyPropagated(10, Changed("b", 12));
   Pass(absl::Minutes(1));
   BOOST_TEST(table.calls.empty());
-  BOOST_TEST((got == Strings{"change b"}));
+  BOOST_TEST((events == Strings{"change b"}));
   // A duplicate, or the same change of a second sender, is ignored.
-  follower.ApplyPropagated(10, Changed("b", 12));
-  BOOST_TEST((got == Strings{"change b"}));
+  subscriber.ApplyPropagated(10, Changed("b", 12));
+  BOOST_TEST((events == Strings{"change b"}));
 }
 
 // The message with a change is lost, while an update that names the change
 // arrives. The host must request it from the service, or it serves callers by
 // an old configuration.
-BOOST_FIXTURE_TEST_CASE(ALostChangeIsRequested, ToldFixture) {
-  follower.RecordPeerHistory({12, 0, 12});
+BOOST_FIXTURE_TEST_CASE(ALostChangeIsRequested, PassiveFixture) {
+  subscriber.RecordPeerHistory({12, 0, 12});
   BOOST_TEST(table.calls.empty());
   Pass(absl::Milliseconds(201));
   FakeTable::Call call = table.Next();
   BOOST_TEST(call.since == 10u);
   call.done(Changed("b", 12));
-  BOOST_TEST((got == Strings{"change b"}));
+  BOOST_TEST((events == Strings{"change b"}));
   Pass(absl::Minutes(1));
   BOOST_TEST(table.calls.empty());
   // A later change shows that one is missing, without any update.
-  follower.ApplyPropagated(13, Changed("d", 14));
+  subscriber.ApplyPropagated(13, Changed("d", 14));
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 12u);
 }
 
 // A host requests a change that it missed, and the answer arrives after a newer
 // change that was propagated meanwhile. The host must not return to the older.
-BOOST_FIXTURE_TEST_CASE(AnOlderAnswerIsIgnored, ToldFixture) {
-  follower.RecordPeerHistory({12, 0, 12});
+BOOST_FIXTURE_TEST_CASE(AnOlderAnswerIsIgnored, PassiveFixture) {
+  subscriber.RecordPeerHistory({12, 0, 12});
   Pass(absl::Milliseconds(201));
   FakeTable::Call call = table.Next();
-  follower.ApplyPropagated(10, Changed("newer", 15));
+  subscriber.ApplyPropagated(10, Changed("newer", 15));
   call.done(Changed("older", 12));
-  BOOST_TEST((got == Strings{"change newer"}));
+  BOOST_TEST((events == Strings{"change newer"}));
 }
 
 // Nothing changes for longer than the service keeps its history. A host whose
 // version did not advance would then have to read the whole table again.
-BOOST_FIXTURE_TEST_CASE(UpdatesOfPeersAdvanceTheVersion, ToldFixture) {
-  follower.RecordPeerHistory({10, 0, 900});
-  follower.RecordPeerHistory({901, 0, 901});
+BOOST_FIXTURE_TEST_CASE(UpdatesOfPeersAdvanceTheVersion, PassiveFixture) {
+  subscriber.RecordPeerHistory({10, 0, 900});
+  subscriber.RecordPeerHistory({901, 0, 901});
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 900u);
 }
 
 // Guards against removed servers that stay in use. A peer that read the table
 // after the removal has seen no change, but can't vouch that there was none.
-BOOST_FIXTURE_TEST_CASE(APeerThatReadLaterCantVouchForRemovals, ToldFixture) {
-  follower.RecordPeerHistory(
+BOOST_FIXTURE_TEST_CASE(APeerThatReadLaterCantVouchForRemovals,
+                        PassiveFixture) {
+  subscriber.RecordPeerHistory(
       {/*newest_change=*/8, /*since=*/100, /*version=*/110});
-  BOOST_TEST(follower.version() == 10u);
+  BOOST_TEST(subscriber.version() == 10u);
   // The next change shows that something is missing here.
-  TablePage handed = Changed("b", 112);
-  follower.ApplyPropagated(110, handed);
+  TablePage propagated = Changed("b", 112);
+  subscriber.ApplyPropagated(110, propagated);
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 10u);
 }
 
 // No live peer reaches the service, which may still answer this host. The host
 // must probe it at long intervals, and poll for its peers once it is answered.
-BOOST_FIXTURE_TEST_CASE(ProbesRarelyWhenNoPeerReachesTheService, ToldFixture) {
-  follower.SetMode(SubscriptionMode::kProbing, absl::Seconds(10));
-  int tries = 0;
+BOOST_FIXTURE_TEST_CASE(ProbesRarelyWhenNoPeerReachesTheService,
+                        PassiveFixture) {
+  subscriber.SetMode(SubscriptionMode::kProbing, absl::Seconds(10));
+  int probes = 0;
   for (int i = 0; i < 60; ++i) {
     Pass(absl::Seconds(1));
     if (table.calls.empty()) continue;
-    ++tries;
+    ++probes;
     table.Next().done(TableFailure::kUnavailable);
   }
-  BOOST_TEST(tries >= 3);
-  BOOST_TEST(tries <= 12);
+  BOOST_TEST(probes >= 3);
+  BOOST_TEST(probes <= 12);
   Pass(absl::Seconds(15));
   table.Next().done(Changed("b", 12));
-  BOOST_TEST(follower.subscribed());
+  BOOST_TEST(subscriber.subscribed());
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 12u);
 }
 
 // The host that propagated changes becomes unresponsive, so this one polls.
-BOOST_FIXTURE_TEST_CASE(AnIsolatedHostPolls, ToldFixture) {
-  follower.SetMode(SubscriptionMode::kAlways, absl::Seconds(10));
+BOOST_FIXTURE_TEST_CASE(AnIsolatedHostPolls, PassiveFixture) {
+  subscriber.SetMode(SubscriptionMode::kAlways, absl::Seconds(10));
   Pass(absl::Seconds(1));
   BOOST_TEST(table.Next().since == 10u);
 }
@@ -338,13 +340,13 @@
   Pass(absl::Milliseconds(300));
   table.Next().done(TableFailure::kHistoryGone);
   Pass(absl::Seconds(1));
-  got.clear();
+  events.clear();
   table.Next().done(Page({"a", "left"}, 12));
-  BOOST_TEST(got.empty());
-  BOOST_TEST(follower.version() == 14u);
+  BOOST_TEST(events.empty());
+  BOOST_TEST(subscriber.version() == 14u);
   Pass(absl::Seconds(1));
   table.Next().done(Page({"a", "b"}, 14));
-  BOOST_TEST((got == Strings{"whole a b"}));
+  BOOST_TEST((events == Strings{"whole a b"}));
 }
 
 // Guards against configurations in quick succession that are together too long
@@ -353,20 +355,20 @@
   TablePage whole = Changed("a", 8);
   whole.version = 10;
   table.Next().done(whole);
-  TablePage handed;
-  std::uint64_t handed_since = 0;
-  follower.SetOnChanges([&](std::uint64_t since, const TablePage& page) {
-    handed_since = since;
-    handed = page;
+  TablePage propagated;
+  std::uint64_t propagated_since = 0;
+  subscriber.SetOnChanges([&](std::uint64_t since, const TablePage& page) {
+    propagated_since = since;
+    propagated = page;
   });
   TablePage twice = Changed("b", 12);
   twice.rows.push_back({"b", "w", false, 14});
   twice.version = 15;
   table.Next().done(twice);
-  BOOST_TEST(handed_since == 10u);
-  BOOST_REQUIRE(handed.rows.size() == 1u);
-  BOOST_TEST(handed.rows[0].value == "w");
-  BOOST_TEST(handed.version == 15u);
+  BOOST_TEST(propagated_since == 10u);
+  BOOST_REQUIRE(propagated.rows.size() == 1u);
+  BOOST_TEST(propagated.rows[0].value == "w");
+  BOOST_TEST(propagated.version == 15u);
 }
 
 }  // namespace
--- a/src/gateway/unresponsive_table_test.cc
+++ b/src/gateway/unresponsive_table_test.cc
@@ -23,12 +23,12 @@
     for (std::size_t i = 0; i < count; ++i) {
       const std::string name = "h" + std::to_string(i);
       elections_.push_back(std::make_unique<MonitorElection>(name, now));
-      followers_.push_back(std::make_unique<TableSubscriber>(
+      subscribers_.push_back(std::make_unique<TableSubscriber>(
           TableSubscriberOptions{.table = "t"}, table.PortFor(i), &timers,
           [this] { return now; }, i + 1,
           [](const std::vector<TableRow>&, bool, absl::Time) {},
           [](bool, absl::Time) {}));
-      followers_.back()->Start();
+      subscribers_.back()->Start();
     }
   }
 
@@ -43,8 +43,8 @@
 
   std::size_t CountLagging() const {
     std::size_t lagging = 0;
-    for (const auto& follower : followers_) {
-      lagging += follower->newest_change() < table.version() ? 1 : 0;
+    for (const auto& subscriber : subscribers_) {
+      lagging += subscriber->newest_change() < table.version() ? 1 : 0;
     }
     return lagging;
   }
@@ -55,26 +55,26 @@
 
  private:
   void Publish() {
-    for (std::size_t from = 0; from < followers_.size(); ++from) {
+    for (std::size_t from = 0; from < subscribers_.size(); ++from) {
       FleetUpdate update;
       update.sender.host = "h" + std::to_string(from);
       update.period_ms = 250;
-      update.tables = {
-          {HashName("t"), followers_[from]->History(), followers_[from]->up()}};
-      for (std::size_t to = 0; to < followers_.size(); ++to) {
+      update.tables = {{HashName("t"), subscribers_[from]->History(),
+                        subscribers_[from]->up()}};
+      for (std::size_t to = 0; to < subscribers_.size(); ++to) {
         if (to == from || to == table.cut || from == table.cut) continue;
         elections_[to]->RecordUpdate(update, now);
-        followers_[to]->RecordPeerHistory(update.tables[0].history);
+        subscribers_[to]->RecordPeerHistory(update.tables[0].history);
       }
     }
-    for (std::size_t i = 0; i < followers_.size(); ++i) {
-      followers_[i]->SetMonitoring(
-          elections_[i]->IsMonitor(followers_[i]->up(), now));
+    for (std::size_t i = 0; i < subscribers_.size(); ++i) {
+      subscribers_[i]->SetMonitoring(
+          elections_[i]->IsMonitor(subscribers_[i]->up(), now));
     }
   }
 
   std::vector<std::unique_ptr<MonitorElection>> elections_;
-  std::vector<std::unique_ptr<TableSubscriber>> followers_;
+  std::vector<std::unique_ptr<TableSubscriber>> subscribers_;
 };
 
 // Times at which a waiting call has just begun, is in the middle of its wait,
