--- a/src/gateway/aggregate.cc
+++ b/src/gateway/aggregate.cc
@@ -102,8 +102,8 @@
                             FirstMessageRule(update, now))) {
     const auto add = [&growth](Totals* totals) {
       Total& total = (*totals)[growth.workspace];
-      total.let_through += growth.let_through;
-      total.given_back += growth.given_back;
+      total.admitted += growth.let_through;
+      total.refunded += growth.given_back;
     };
     add(&source.contribution);
     add(&total_);
@@ -237,8 +237,8 @@
     update.workspaces.push_back(use);
     const auto total = totals.find(name);
     if (total == totals.end()) continue;
-    update.workspaces.back().admitted = total->second.let_through;
-    update.workspaces.back().refunded = total->second.given_back;
+    update.workspaces.back().admitted = total->second.admitted;
+    update.workspaces.back().refunded = total->second.refunded;
   }
   for (const auto& [name, table] : sums.tables) {
     update.tables.push_back(table);
@@ -267,8 +267,8 @@
   for (WorkspaceUse& use : update.workspaces) {
     const auto contribution = own.contribution.find(use.workspace);
     if (contribution == own.contribution.end()) continue;
-    use.admitted -= contribution->second.let_through;
-    use.refunded -= contribution->second.given_back;
+    use.admitted -= contribution->second.admitted;
+    use.refunded -= contribution->second.refunded;
   }
   if (!IsLive(own, merge_time_)) return update;
   const bool current = IsCurrent(merge_time_ - own.received, period);
--- a/src/gateway/aggregate.h
+++ b/src/gateway/aggregate.h
@@ -64,8 +64,8 @@
 
  private:
   struct Total {
-    std::uint64_t let_through = 0;
-    std::uint64_t given_back = 0;
+    std::uint64_t admitted = 0;
+    std::uint64_t refunded = 0;
   };
   using Totals = std::map<NameHash, Total>;
   struct Source {
@@ -75,8 +75,7 @@
     Totals contribution;  // This source's part of the totals.
   };
   struct Expected {
-    absl::Time
-        received;  // Time of the last update, or when added if there is none.
+    absl::Time received;  // Last update, or the time when added.
     std::size_t hosts = 1;
     bool dropped = false;
   };
--- a/src/gateway/aggregate_test.cc
+++ b/src/gateway/aggregate_test.cc
@@ -81,9 +81,9 @@
 BOOST_AUTO_TEST_CASE(UseReportedToAnotherAggregatorIsNotCountedAgain) {
   Aggregate aggregate("z");
   FleetUpdate update = UpdateOf("h");
-  const auto record = [&](std::uint64_t let_through, absl::Time at) {
+  const auto record = [&](std::uint64_t admitted, absl::Time at) {
     ++update.sequence;
-    update.workspaces = {{HashName("w"), 1, let_through}};
+    update.workspaces = {{HashName("w"), 1, admitted}};
     aggregate.RecordUpdate(update, at);
     aggregate.Merge(at);
     return aggregate.ZoneUpdate().workspaces.front().admitted;
--- a/src/gateway/aggregator_election.cc
+++ b/src/gateway/aggregator_election.cc
@@ -18,7 +18,7 @@
 
 void AggregatorElection::AddHost(const HostEntry& host) {
   if (host.host == self_.host || host.host.empty()) return;
-  known_[host.host].entry = host;
+  hosts_[host.host].entry = host;
 }
 
 void AggregatorElection::Start(absl::Time now) {
@@ -30,8 +30,8 @@
 void AggregatorElection::RecordAggregator(const std::string& host,
                                           absl::Duration period,
                                           absl::Time now) {
-  const auto found = known_.find(host);
-  if (found == known_.end()) return;
+  const auto found = hosts_.find(host);
+  if (found == hosts_.end()) return;
   found->second.last_aggregator_message = now;
   found->second.period = period;
   found->second.skipped_until = absl::InfinitePast();
@@ -40,7 +40,7 @@
 std::vector<std::string> AggregatorElection::BetterCandidates(
     absl::Time now) const {
   std::vector<std::string> candidates;
-  for (const auto& [name, known] : known_) {
+  for (const auto& [name, known] : hosts_) {
     if (known.entry.zone != self_.zone || now < known.skipped_until) continue;
     if (RanksBelow(self_, known.entry)) candidates.push_back(name);
   }
@@ -50,13 +50,13 @@
 
 void AggregatorElection::SortBestFirst(std::vector<std::string>* names) const {
   std::sort(names->begin(), names->end(), [this](const auto& a, const auto& b) {
-    return RanksBelow(known_.at(b).entry, known_.at(a).entry);
+    return RanksBelow(hosts_.at(b).entry, hosts_.at(a).entry);
   });
 }
 
 void AggregatorElection::OnAggregatorLost(absl::Time now) {
   LOG(WARNING) << "event=aggregator-lost host=" << aggregator_;
-  known_[aggregator_].skipped_until = now + kLostAggregatorSkip;
+  hosts_[aggregator_].skipped_until = now + kLostAggregatorSkip;
   aggregator_.clear();
   no_aggregator_since_ = now;
 }
@@ -66,7 +66,7 @@
   const std::vector<std::string> candidates = BetterCandidates(now);
   const auto live = std::find_if(candidates.begin(), candidates.end(),
                                  [&](const std::string& name) {
-                                   const Known& known = known_.at(name);
+                                   const KnownHost& known = hosts_.at(name);
                                    return now - known.last_aggregator_message <=
                                           LivenessTimeout(known.period);
                                  });
@@ -89,7 +89,7 @@
   is_aggregator_ = true;
   aggregator_ = self_.host;
   LOG(INFO) << "event=aggregates zone=" << self_.zone
-            << " known=" << known_.size() + 1;
+            << " known=" << hosts_.size() + 1;
 }
 
 std::string AggregatorElection::ReportTarget() const {
@@ -97,13 +97,13 @@
 }
 
 const HostEntry* AggregatorElection::Find(const std::string& host) const {
-  const auto found = known_.find(host);
-  return found == known_.end() ? nullptr : &found->second.entry;
+  const auto found = hosts_.find(host);
+  return found == hosts_.end() ? nullptr : &found->second.entry;
 }
 
 std::vector<std::string> AggregatorElection::ZonePeers() const {
   std::vector<std::string> names;
-  for (const auto& [name, known] : known_) {
+  for (const auto& [name, known] : hosts_) {
     if (known.entry.zone == self_.zone) names.push_back(name);
   }
   SortBestFirst(&names);
@@ -113,7 +113,7 @@
 std::map<std::string, std::vector<std::string>> AggregatorElection::OtherZones()
     const {
   std::map<std::string, std::vector<std::string>> zones;
-  for (const auto& [name, known] : known_) {
+  for (const auto& [name, known] : hosts_) {
     if (known.entry.zone != self_.zone) {
       zones[known.entry.zone].push_back(name);
     }
--- a/src/gateway/aggregator_election.h
+++ b/src/gateway/aggregator_election.h
@@ -34,7 +34,7 @@
   return std::max(kMinTimeout, kPeriods * period);
 }
 
-// Returns whether an update of age `silence` is recent enough for shares of
+// Returns whether an update of age `age` is recent enough for shares of
 // limits. Until a network partition is detected every side uses the whole
 // limit, so little more than one missing message counts as a partition. If the
 // message was lost by chance, it does no harm to leave out that host's share
@@ -44,6 +44,7 @@
   return age <= kPeriods * period;
 }
 
+// Decides which host is the aggregator of this host's zone.
 class AggregatorElection {
  public:
   AggregatorElection(HostEntry self, absl::Time now)
@@ -68,7 +69,7 @@
   std::string ReportTarget() const;
 
   // Returns the number of known hosts, including this one.
-  int known_hosts() const { return static_cast<int>(known_.size()) + 1; }
+  int known_hosts() const { return static_cast<int>(hosts_.size()) + 1; }
   const HostEntry& self() const { return self_; }
   // Returns null if the host is unknown.
   const HostEntry* Find(const std::string& host) const;
@@ -78,11 +79,10 @@
   std::map<std::string, std::vector<std::string>> OtherZones() const;
 
  private:
-  struct Known {
+  struct KnownHost {
     HostEntry entry;
     absl::Time skipped_until = absl::InfinitePast();
-    absl::Time last_aggregator_message =
-        absl::InfinitePast();  // Last aggregator message.
+    absl::Time last_aggregator_message = absl::InfinitePast();
     absl::Duration period;
   };
 
@@ -93,7 +93,7 @@
   void SortBestFirst(std::vector<std::string>* names) const;
 
   const HostEntry self_;
-  absl::flat_hash_map<std::string, Known> known_;
+  absl::flat_hash_map<std::string, KnownHost> hosts_;
   bool started_ = false;
   bool is_aggregator_ = false;
   std::string aggregator_;
--- a/src/gateway/fleet.cc
+++ b/src/gateway/fleet.cc
@@ -256,12 +256,12 @@
   }
   const bool settled = IsSettled(now);
   for (const std::string& host : Recipients(now)) {
-    FleetUpdate others = aggregate_.UpdateForHost(host);
-    others.detailed = detailed;
-    others.neighbours = neighbours;
-    others.settled = settled;
-    FillHeader(&others);
-    hooks_.send(host, others);
+    FleetUpdate peers = aggregate_.UpdateForHost(host);
+    peers.detailed = detailed;
+    peers.neighbours = neighbours;
+    peers.settled = settled;
+    FillHeader(&peers);
+    hooks_.send(host, peers);
   }
   if (!settled) return;
   own.detailed = true;
--- a/src/gateway/fleet.h
+++ b/src/gateway/fleet.h
@@ -26,7 +26,7 @@
   // Fills in the state of this host.
   std::function<void(FleetUpdate* own)> compose;
   // Called with the merged state of all peers.
-  std::function<void(const FleetUpdate& others)> on_peers;
+  std::function<void(const FleetUpdate& peers)> on_peers;
   // Called on an aggregator with the state of another zone.
   std::function<void(const FleetUpdate& zone)> on_zone;
   // Called when a peer becomes known or its entry changes.
@@ -60,8 +60,8 @@
   bool is_aggregator() const { return election_.won(); }
   const std::string& aggregator() const { return election_.aggregator(); }
   // Returns the peers to query for missing data: the aggregator, and from the
-  // second try on, or without an aggregator, two random peers as well. `draw`
-  // seeds their choice.
+  // second try on, or without an aggregator, two random peers as well. `seed`
+  // determines their choice.
   std::vector<std::string> QueryTargets(int tries, std::uint64_t seed) const;
   // Returns the live peers of the zone if this host is its aggregator, else
   // none.
--- a/src/gateway/fleet_messages.h
+++ b/src/gateway/fleet_messages.h
@@ -55,7 +55,7 @@
   float tokens_per_second = 0;  // Demand of the callers, served or not.
   std::uint64_t admitted = 0;   // Tokens since the sender began to count.
   std::uint64_t refunded = 0;   // Of these, tokens of requests not sent.
-  float share = 0;              // Share of the limit that is used; 0: unknown.
+  float share = 0;              // Allowed share of the limit; 0: unknown.
   std::uint16_t shares = 0;     // Number of hosts whose share is known.
   // Tokens that a host admitted since it last received its peers' state.
   float unreported = 0;
@@ -84,21 +84,20 @@
 struct FleetUpdate {
   UpdateScope scope = UpdateScope::kHost;
   HostEntry sender;
-  std::int64_t incarnation =
-      0;                        // Increases when the sender's counters restart.
-  std::uint64_t sequence = 0;   // Increases with each message.
-  std::uint16_t period_ms = 0;  // Time until the sender's next message.
-  std::uint32_t age_ms = 0;     // Time since the sender began to count.
-  std::uint16_t hosts = 1;      // Number of hosts that the state covers.
-  bool complete = true;         // No expected host is missing.
-  bool draining = false;        // The sender is about to stop.
+  std::int64_t incarnation = 0;  // Increases when the counters restart.
+  std::uint64_t sequence = 0;    // Increases with each message.
+  std::uint16_t period_ms = 0;   // Time until the sender's next message.
+  std::uint32_t age_ms = 0;      // Time since the sender began to count.
+  std::uint16_t hosts = 1;       // Number of hosts that the state covers.
+  bool complete = true;          // No expected host is missing.
+  bool draining = false;         // The sender is about to stop.
   std::vector<WorkspaceUse> workspaces;
   std::vector<TableState> tables;
   // False while the sender has not aggregated long enough to have received the
   // state of every host.
   bool settled = true;
-  // Aggregator of the sender's zone, or with kNone of the recipient's zone;
-  // empty if unknown.
+  // Aggregator of the sender's zone, or in a kNone message of any zone; empty
+  // if unknown.
   HostEntry aggregator;
 
   // Whether the lists below are present. They are long and sent less often.
@@ -148,7 +147,7 @@
 struct TableQuery {
   std::string requester;  // Host to reply to.
   NameHash table = 0;
-  std::uint64_t since = 0;  // Version that this host has; 0: none.
+  std::uint64_t since = 0;  // Version that the requester has; 0: none.
   bool operator==(const TableQuery&) const = default;
 };
 
--- a/src/gateway/fleet_test.cc
+++ b/src/gateway/fleet_test.cc
@@ -81,13 +81,13 @@
   site.max_delay_ms = 80;
   site.Add(40, 4);
   constexpr NameHash kWorkspace = 7;
-  std::map<std::string, std::uint64_t> let_through;
+  std::map<std::string, std::uint64_t> admitted;
   std::map<std::string, std::uint64_t> counted;
   std::map<std::string, UseCounters> counters;
   for (auto& [host_name, host] : site.hosts) {
     const std::string name = host_name;
     host.compose = [&, name](FleetUpdate* own) {
-      own->workspaces = {{kWorkspace, 1, let_through[name]}};
+      own->workspaces = {{kWorkspace, 1, admitted[name]}};
     };
     host.on_peers = [&, name](const FleetUpdate& peers) {
       for (const UseGrowth& growth :
@@ -102,13 +102,13 @@
   for (int i = 0; i < 200; ++i) {
     const std::string name =
         FleetSite::Name(static_cast<int>(site.random() % 40));
-    let_through[name] += 1000;
+    admitted[name] += 1000;
     total += 1000;
     site.Pass(absl::Milliseconds(20));
   }
   site.Pass(absl::Seconds(2));
   for (const auto& [name, host] : site.hosts) {
-    BOOST_TEST(counted[name] == total - let_through[name], name);
+    BOOST_TEST(counted[name] == total - admitted[name], name);
   }
 }
 
--- a/src/gateway/host_fleet.cc
+++ b/src/gateway/host_fleet.cc
@@ -14,7 +14,7 @@
 
 // Minimum interval of passing the number of hosts to the forwarder, because
 // hosts are started by the hundred.
-constexpr absl::Duration kHostsPeriod = absl::Seconds(1);
+constexpr absl::Duration kHostCountInterval = absl::Seconds(1);
 
 }  // namespace
 
@@ -27,7 +27,7 @@
   options.table = platform_.host_table;
   PeersHooks hooks;
   hooks.compose = [this](FleetUpdate* update) { ComposeUpdate(update); };
-  hooks.on_peers = [this](const FleetUpdate& others) { OnPeersUpdate(others); };
+  hooks.on_peers = [this](const FleetUpdate& peers) { OnPeersUpdate(peers); };
   hooks.on_zone = [this](const FleetUpdate& zone) {
     sharing_.OnZoneUpdate(zone, loop_->now());
   };
@@ -54,20 +54,20 @@
   }
 }
 
-void Host::OnPeersUpdate(const FleetUpdate& others) {
+void Host::OnPeersUpdate(const FleetUpdate& peers) {
   const absl::Time now = loop_->now();
-  for (const Spent& spent : demand_.Heard(others, now)) {
+  for (const Spent& spent : demand_.Heard(peers, now)) {
     forwarder_.quotas().Spend(spent.workspace, spent.tokens, now);
   }
-  for (const TableState& table : others.tables) {
+  for (const TableState& table : peers.tables) {
     service_return_.Heard(table.recovery_age_ms, now);
     directory_.ServiceReturned(service_return_.latest());
   }
-  sharing_.OnPeersUpdate(others, now);
-  if (others.detailed) {
-    groups_.SetDispatchers(others.dispatchers);
+  sharing_.OnPeersUpdate(peers, now);
+  if (peers.detailed) {
+    groups_.SetDispatchers(peers.dispatchers);
     absl::flat_hash_map<NameHash, ServerUse> uses;
-    for (const ServerUse& use : others.servers) uses[use.server] = use;
+    for (const ServerUse& use : peers.servers) uses[use.server] = use;
     forwarder_.UsedElsewhere(uses);
     groups_.UsedElsewhere(uses);
   }
@@ -107,10 +107,10 @@
 void Host::QueryPeers(const TableQuery& query, int tries) {
   // Until Peers has started, no peer is known.
   if (peers_ == nullptr) return;
-  const std::uint64_t draw =
+  const std::uint64_t seed =
       absl::HashOf(query.requester, query.table, tries, loop_->now());
   const std::string bytes = Encode(query);
-  for (const std::string& host : peers_->fleet().QueryTargets(tries, draw)) {
+  for (const std::string& host : peers_->fleet().QueryTargets(tries, seed)) {
     peers_->Send(host, bytes);
   }
 }
@@ -125,7 +125,7 @@
     quotas.SetOthers(workspace, demand_.Others(workspace, now), now);
   }
   if (reported_hosts_ == demand_.hosts()) return;
-  if (now - reported_hosts_at_ < kHostsPeriod) return;
+  if (now - reported_hosts_at_ < kHostCountInterval) return;
   reported_hosts_ = demand_.hosts();
   reported_hosts_at_ = now;
   forwarder_.ServersChanged();
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -38,7 +38,7 @@
 struct PeersHooks {
   // See FleetHooks.
   std::function<void(FleetUpdate* own)> compose;
-  std::function<void(const FleetUpdate& others)> on_peers;
+  std::function<void(const FleetUpdate& peers)> on_peers;
   std::function<void(const FleetUpdate& zone)> on_zone;
   // Called with messages of other components of the peers.
   std::function<void(std::string_view bytes)> on_message;
--- a/src/gateway/table_sharing.cc
+++ b/src/gateway/table_sharing.cc
@@ -43,7 +43,8 @@
       monitor_election_(host, now),
       peers_received_(now) {
   for (TableSubscriber* subscriber : subscribers_) {
-    // The mode is set before the first change matters; no probe comes earlier.
+    // The mode is chosen anew before the first change. Until then this host
+    // doesn't probe.
     subscriber->SetMode(SubscriptionMode::kPassive,
                         /*probe_period=*/absl::InfiniteDuration());
     const NameHash table = HashName(subscriber->table());
--- a/src/gateway/table_sharing.h
+++ b/src/gateway/table_sharing.h
@@ -47,7 +47,7 @@
 // Sets the subscription modes of this host and exchanges changes with peers.
 class TableSharing {
  public:
-  // `followers` must outlive this object.
+  // `subscribers` must outlive this object.
   TableSharing(std::string host, std::vector<TableSubscriber*> subscribers,
                TableSharingHooks hooks, absl::Time now);
 
--- a/src/gateway/table_sharing_test.cc
+++ b/src/gateway/table_sharing_test.cc
@@ -16,11 +16,11 @@
 namespace gentianlb::gateway {
 namespace {
 
-constexpr absl::Duration kSettled = absl::Seconds(6);
+constexpr absl::Duration kSettlingTime = absl::Seconds(6);
 // Time within which a confirmed change must be in force.
-constexpr absl::Duration kPromised = absl::Seconds(2);
+constexpr absl::Duration kChangeDeadline = absl::Seconds(2);
 // Time between the failure of the service and the change.
-constexpr absl::Duration kShortly = absl::Milliseconds(80);
+constexpr absl::Duration kChangeDelay = absl::Milliseconds(80);
 
 using Message = std::variant<TableChanges, TableQuery>;
 
@@ -29,7 +29,7 @@
   SharingSite(int count, int zones, std::uint64_t seed) : fleet_(seed) {
     fleet_.Add(count, zones);
     for (int i = 0; i < count; ++i) members_.push_back(MakeMember(i));
-    Pass(kSettled);
+    Pass(kSettlingTime);
   }
 
   void Pass(absl::Duration span) {
@@ -44,10 +44,10 @@
     return found;
   }
 
-  std::set<std::size_t> WhoFollow() const {
+  std::set<std::size_t> Subscribed() const {
     std::set<std::size_t> found;
     for (std::size_t i = 0; i < members_.size(); ++i) {
-      if (members_[i].follower->subscribed()) found.insert(i);
+      if (members_[i].subscriber->subscribed()) found.insert(i);
     }
     return found;
   }
@@ -55,11 +55,11 @@
   // Changes the table shortly after a failure of the service. Returns the
   // number of hosts that lack the change at the deadline, without those in
   // `excused`.
-  int BehindAfterAChange(const std::set<std::size_t>& excused) {
-    Pass(kShortly);
+  int CountLaggingAfterChange(const std::set<std::size_t>& excused) {
+    Pass(kChangeDelay);
     table.Change();
-    Pass(kPromised);
-    return Behind(excused);
+    Pass(kChangeDeadline);
+    return CountLagging(excused);
   }
 
   // Restarts the host without state.
@@ -72,20 +72,20 @@
 
   // Returns the number of hosts that lack the newest change, without those in
   // `excused`.
-  int Behind(const std::set<std::size_t>& excused) const {
-    int behind = 0;
+  int CountLagging(const std::set<std::size_t>& excused) const {
+    int lagging = 0;
     for (std::size_t i = 0; i < members_.size(); ++i) {
-      const bool knows =
-          members_[i].follower->newest_change() >= table.version();
-      if (!knows && !excused.contains(i)) ++behind;
+      const bool up_to_date =
+          members_[i].subscriber->newest_change() >= table.version();
+      if (!up_to_date && !excused.contains(i)) ++lagging;
     }
-    return behind;
+    return lagging;
   }
 
  private:
   struct Member {
     FleetSite::Host* host = nullptr;
-    std::unique_ptr<TableSubscriber> follower;
+    std::unique_ptr<TableSubscriber> subscriber;
     std::unique_ptr<TableSharing> sharing;
   };
 
@@ -95,7 +95,7 @@
     const std::string name = FleetSite::Name(number);
     Member member;
     member.host = &fleet_.hosts.at(name);
-    member.follower = std::make_unique<TableSubscriber>(
+    member.subscriber = std::make_unique<TableSubscriber>(
         TableSubscriberOptions{.table = "t"},
         table.PortFor(static_cast<std::size_t>(number)), &timers_,
         [this] { return now(); }, fleet_.random(),
@@ -103,7 +103,7 @@
         [](bool, absl::Time) {});
     FleetSite::Host* host = member.host;
     member.sharing = std::make_unique<TableSharing>(
-        name, std::vector<TableSubscriber*>{member.follower.get()},
+        name, std::vector<TableSubscriber*>{member.subscriber.get()},
         TableSharingHooks{
             .propagate =
                 [this, host](const TableChanges& changes) {
@@ -122,26 +122,28 @@
     host->compose = [sharing](FleetUpdate* own) {
       own->tables = sharing->TableStates();
     };
-    host->on_peers = [this, sharing](const FleetUpdate& others) {
-      sharing->OnPeersUpdate(others, now());
+    host->on_peers = [this, sharing](const FleetUpdate& peers) {
+      sharing->OnPeersUpdate(peers, now());
     };
     host->on_zone = [this, sharing](const FleetUpdate& zone) {
       sharing->OnZoneUpdate(zone, now());
     };
-    member.follower->Start();
+    member.subscriber->Start();
     return member;
   }
 
   void Send(const std::vector<std::string>& hosts, const Message& message) {
-    for (const std::string& host : hosts) flying_.emplace_back(host, message);
+    for (const std::string& host : hosts) queue_.emplace_back(host, message);
   }
 
   void Deliver() {
-    for (const auto& [to, message] : std::exchange(flying_, {})) {
+    for (const auto& [to, message] : std::exchange(queue_, {})) {
       for (Member& member : members_) {
         if (member.host->entry.host != to) continue;
         std::visit(
-            [&](const auto& held) { member.sharing->HandleMessage(held); },
+            [&](const auto& content) {
+              member.sharing->HandleMessage(content);
+            },
             message);
       }
     }
@@ -161,7 +163,7 @@
 
   FleetSite fleet_;
   TimerService timers_;
-  std::vector<std::pair<std::string, Message>> flying_;
+  std::vector<std::pair<std::string, Message>> queue_;
 
  public:
   FakeTableService table{&fleet_.now};
@@ -184,7 +186,7 @@
       SharingSite site(hosts, zones, seed);
       const std::set<std::size_t> refused = site.Aggregators();
       site.table.refused = refused;
-      BOOST_TEST(site.BehindAfterAChange(refused) == 0,
+      BOOST_TEST(site.CountLaggingAfterChange(refused) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
@@ -196,10 +198,10 @@
   for (const auto& [hosts, zones] : {Size{64, 3}, Size{195, 6}}) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
-      const std::set<std::size_t> refused = site.WhoFollow();
+      const std::set<std::size_t> refused = site.Subscribed();
       BOOST_TEST(refused.size() < 30);
       site.table.refused = refused;
-      BOOST_TEST(site.BehindAfterAChange(refused) == 0,
+      BOOST_TEST(site.CountLaggingAfterChange(refused) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
@@ -212,7 +214,7 @@
   site.Pass(absl::Minutes(1));
   // The monitor makes a call per second, the others one per half a minute.
   BOOST_TEST(site.table.calls - before <= 60 + 30 * 3);
-  BOOST_TEST(site.WhoFollow().size() >= 6 + 3);
+  BOOST_TEST(site.Subscribed().size() >= 6 + 3);
 }
 
 // The same when the service doesn't answer the aggregators, which they detect
@@ -222,9 +224,9 @@
   for (const auto& [hosts, zones] : sizes) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
-      const std::set<std::size_t> unheard = site.Aggregators();
-      site.table.SetUnresponsiveTo(unheard);
-      BOOST_TEST(site.BehindAfterAChange(unheard) == 0,
+      const std::set<std::size_t> unresponsive = site.Aggregators();
+      site.table.SetUnresponsiveTo(unresponsive);
+      BOOST_TEST(site.CountLaggingAfterChange(unresponsive) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
@@ -237,9 +239,9 @@
   for (const auto& [hosts, zones] : {Size{64, 3}, Size{195, 6}}) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
-      const std::set<std::size_t> unheard = site.WhoFollow();
-      site.table.SetUnresponsiveTo(unheard);
-      BOOST_TEST(site.BehindAfterAChange(unheard) == 0,
+      const std::set<std::size_t> unresponsive = site.Subscribed();
+      site.table.SetUnresponsiveTo(unresponsive);
+      BOOST_TEST(site.CountLaggingAfterChange(unresponsive) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
@@ -256,7 +258,7 @@
       for (int i = 0; i < hosts; i += 3) {
         site.table.refused.insert(static_cast<std::size_t>(i));
       }
-      BOOST_TEST(site.BehindAfterAChange({}) == 0,
+      BOOST_TEST(site.CountLaggingAfterChange({}) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
@@ -275,7 +277,7 @@
       site.Restart(static_cast<std::size_t>(i));
     }
     site.Pass(absl::Seconds(3));
-    BOOST_TEST(site.Behind({}) == 0, hosts << " hosts");
+    BOOST_TEST(site.CountLagging({}) == 0, hosts << " hosts");
   }
 }
 
