--- a/src/gateway/host.h
+++ b/src/gateway/host.h
@@ -71,14 +71,14 @@
 
   std::optional<Error> Listen();
   std::optional<Error> StartPeers();
-  void ComposeUpdate(FleetUpdate* news);
-  void OnPeersUpdate(const FleetUpdate& others);
+  void ComposeUpdate(FleetUpdate* update);
+  void OnPeersUpdate(const FleetUpdate& peers);
   void OnPeerMessage(std::string_view bytes);
   // Lets what was heard, or wasn't, come into force.
   void ApplyPeerState(absl::Time now);
   void SendChanges(const std::vector<std::string>& hosts,
                    const TableChanges& changes);
-  void QueryPeers(const TableQuery& question, int tries);
+  void QueryPeers(const TableQuery& query, int tries);
   void TakeRequest(http::Request request,
                    std::shared_ptr<http::Responder> responder);
   void TakeQuestion(const http::Request& request,
--- a/src/gateway/table_sharing.cc
+++ b/src/gateway/table_sharing.cc
@@ -133,9 +133,9 @@
 
 void TableSharing::UpdateModes(const FleetRole& role, absl::Time now) {
   role_ = role;
-  const bool reaches =
-      std::all_of(subscribers_.begin(), subscribers_.end(),
-                  [](const TableSubscriber* one) { return one->up(); });
+  const bool reaches = std::all_of(
+      subscribers_.begin(), subscribers_.end(),
+      [](const TableSubscriber* subscriber) { return subscriber->up(); });
   const bool is_monitor =
       role.is_aggregator && monitor_election_.IsMonitor(reaches, now);
   for (TableSubscriber* subscriber : subscribers_) {
