--- a/src/gateway/fleet.cc
+++ b/src/gateway/fleet.cc
@@ -117,8 +117,8 @@
 
 void Fleet::OnZoneUpdate(const FleetUpdate& update, absl::Time now) {
   hooks_.on_zone(update);
-  // A host that knows no other host of its zone elects itself; name it the
-  // better aggregator.
+  // A host that knows no other host of its zone elects itself. Refer it to the
+  // best aggregator there.
   const auto live = aggregate_.LiveAggregatorsOf(update.sender.zone, now);
   if (!live.empty()) Refer(update.sender.host, &live.front());
 }
@@ -200,7 +200,8 @@
   for (const HostEntry& host : aggregate_.LiveAggregatorsOf(zone, now)) {
     targets.insert(host.host);
   }
-  // Sends to a named aggregator once: if it is right, its updates arrive soon.
+  // Sends to a named aggregator once. If it is the aggregator, its own updates
+  // arrive soon.
   const auto named = named_aggregators_.extract(zone);
   if (!named.empty()) targets.insert(named.mapped());
   // A host that is not the aggregator replies with the aggregator's name.
@@ -215,8 +216,8 @@
   const bool settled = IsSettled(now);
   for (const auto& [zone, hosts] : election_.OtherZones()) {
     for (const std::string& target : TargetsInZone(zone, hosts, now)) {
-      // Until then it only announces itself, so that the other zones send to
-      // it.
+      // Until it is settled, this host only announces itself, so that the
+      // aggregators of other zones send to it.
       if (settled) hooks_.send(target, zone_update);
       if (!settled) Refer(target, &election_.self());
     }
