--- a/src/gateway/demand.cc
+++ b/src/gateway/demand.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "gateway/zone_role.h"
+#include "gateway/aggregator_election.h"
 
 namespace gentianlb::gateway {
 namespace {
@@ -58,11 +58,11 @@
   own_[workspace].given_back += static_cast<std::uint64_t>(tokens);
 }
 
-std::vector<Spent> Demand::Heard(const FleetNews& others, absl::Time now) {
+std::vector<Spent> Demand::Heard(const FleetUpdate& others, absl::Time now) {
   // Another aggregator counts from another start; and while this host was cut
   // off, the others kept to their parts.
   const bool same = others.sender.host == others_.sender.host &&
-                    now - heard_ <= Believed(Period());
+                    now - heard_ <= LivenessTimeout(Period());
   if (!same) counters_ = UseCounters();
   std::vector<Spent> spent;
   // What an aggregator tells that began since is new to this host, unless the
@@ -140,8 +140,8 @@
   // Started anew: what the others leave, divided among those of whom nothing is
   // known.
   const WorkspaceUse* use = OthersUse(workspace);
-  const double left = use == nullptr ? 1.0 : 1.0 - use->part;
-  const int known = use == nullptr ? 0 : use->parts;
+  const double left = use == nullptr ? 1.0 : 1.0 - use->share;
+  const int known = use == nullptr ? 0 : use->shares;
   return std::max(0.0, left) / std::max(1, hosts_ - known);
 }
 
@@ -161,7 +161,7 @@
   if (AllHeard(now)) return 1;
   double part = OwnPart(workspace);
   if (const WorkspaceUse* use = OthersUse(workspace); use && IsHeard(now)) {
-    part += std::max(0.0F, use->part);
+    part += std::max(0.0F, use->share);
   }
   return std::clamp(part, kLeast, 1.0);
 }
--- a/src/gateway/fleet_messages.cc
+++ b/src/gateway/fleet_messages.cc
@@ -10,10 +10,10 @@
 
 namespace {
 
-// Begin each message, and tell its form from others.
-constexpr std::string_view kNewsMark = "GN5";
+// First bytes of each message; they identify its type and format.
+constexpr std::string_view kUpdateMark = "GN5";
 constexpr std::string_view kChangesMark = "GT1";
-constexpr std::string_view kQuestionMark = "GQ1";
+constexpr std::string_view kQueryMark = "GQ1";
 
 void Write(WireWriter& writer, const HostEntry& host) {
   WriteText(writer, host.host);
@@ -37,64 +37,67 @@
   ReadList(reader, hosts, [&](HostEntry& host) { Read(reader, host); });
 }
 
-void WriteDetails(WireWriter& writer, const FleetNews& news) {
-  WriteList(writer, news.servers, [&](const ServerUse& use) {
-    writer(use.server, use.running, use.alone, use.prefill, use.decode);
+void WriteDetails(WireWriter& writer, const FleetUpdate& update) {
+  WriteList(writer, update.servers, [&](const ServerUse& use) {
+    writer(use.server, use.running, use.ungranted, use.prefill_slowdown,
+           use.decode_slowdown);
   });
-  WriteHosts(writer, news.dispatchers);
-  WriteHosts(writer, news.neighbours);
+  WriteHosts(writer, update.dispatchers);
+  WriteHosts(writer, update.neighbours);
 }
 
-void ReadDetails(WireReader& reader, FleetNews* news) {
-  ReadList(reader, &news->servers, [&](ServerUse& use) {
-    reader(use.server, use.running, use.alone, use.prefill, use.decode);
+void ReadDetails(WireReader& reader, FleetUpdate* update) {
+  ReadList(reader, &update->servers, [&](ServerUse& use) {
+    reader(use.server, use.running, use.ungranted, use.prefill_slowdown,
+           use.decode_slowdown);
   });
-  ReadHosts(reader, &news->dispatchers);
-  ReadHosts(reader, &news->neighbours);
+  ReadHosts(reader, &update->dispatchers);
+  ReadHosts(reader, &update->neighbours);
 }
 
-NewsScope ReadScope(WireReader& reader) {
+UpdateScope ReadScope(WireReader& reader) {
   std::uint8_t scope = 0;
   reader(scope);
-  if (scope > static_cast<std::uint8_t>(NewsScope::kNone)) {
-    throw std::out_of_range("an unknown scope");
+  if (scope > static_cast<std::uint8_t>(UpdateScope::kNone)) {
+    throw std::out_of_range("unknown scope");
   }
-  return static_cast<NewsScope>(scope);
+  return static_cast<UpdateScope>(scope);
 }
 
-void ReadNews(WireReader& reader, FleetNews* news) {
-  news->scope = ReadScope(reader);
-  Read(reader, news->sender);
-  reader(news->incarnation, news->sequence, news->period_ms, news->age_ms,
-         news->hosts, news->complete, news->draining);
-  ReadList(reader, &news->workspaces, [&](WorkspaceUse& use) {
-    reader(use.workspace, use.tokens_per_second, use.let_through,
-           use.given_back, use.part, use.parts, use.unheard);
+void ReadUpdate(WireReader& reader, FleetUpdate* update) {
+  update->scope = ReadScope(reader);
+  Read(reader, update->sender);
+  reader(update->incarnation, update->sequence, update->period_ms,
+         update->age_ms, update->hosts, update->complete, update->draining);
+  ReadList(reader, &update->workspaces, [&](WorkspaceUse& use) {
+    reader(use.workspace, use.tokens_per_second, use.admitted, use.refunded,
+           use.share, use.shares, use.unreported);
   });
-  ReadList(reader, &news->tables, [&](TableNews& table) {
-    reader(table.table, table.known.newest_change, table.known.since,
-           table.known.version, table.up, table.returned_ms);
+  ReadList(reader, &update->tables, [&](TableState& table) {
+    reader(table.table, table.history.newest_change, table.history.since,
+           table.history.version, table.up, table.recovery_age_ms);
   });
-  Read(reader, news->aggregator);
-  reader(news->settled, news->detailed);
-  if (news->detailed) ReadDetails(reader, news);
+  Read(reader, update->aggregator);
+  reader(update->settled, update->detailed);
+  if (update->detailed) ReadDetails(reader, update);
 }
 
 void ReadChanges(WireReader& reader, TableChanges* changes) {
   reader(changes->table, changes->since, changes->page.version);
   ReadList(reader, &changes->page.rows, [&](TableRow& row) {
     ReadText(reader, &row.key);
-    ReadBytes(reader, kMostChangeBytes, &row.value);
+    ReadBytes(reader, kMaxChangesBytes, &row.value);
     reader(row.removed, row.version);
   });
 }
 
-void ReadQuestion(WireReader& reader, TableQuestion* question) {
-  ReadText(reader, &question->asker);
-  reader(question->table, question->since);
+void ReadQuery(WireReader& reader, TableQuery* query) {
+  ReadText(reader, &query->requester);
+  reader(query->table, query->since);
 }
 
-// None when `read` finds the bytes cut or foreign.
+// Decodes the bytes after `mark` with `read`. Returns nullopt if they are
+// truncated or of another type.
 template <typename Message, typename ReadMessage>
 std::optional<Message> Decode(std::string_view mark, std::string_view bytes,
                               ReadMessage read) {
@@ -106,7 +109,7 @@
     WireReader reader(in);
     read(reader, &message);
   } catch (const std::exception&) {
-    return std::nullopt;  // Whoever takes messages in counts these.
+    return std::nullopt;  // The receiver counts malformed messages.
   }
   return message;
 }
@@ -124,34 +127,34 @@
   return hash_a != hash_b ? hash_a < hash_b : a.host < b.host;
 }
 
-std::string Encode(const FleetNews& news) {
+std::string Encode(const FleetUpdate& update) {
   std::ostringstream out;
-  out << kNewsMark;
+  out << kUpdateMark;
   WireWriter writer(out);
-  writer(static_cast<std::uint8_t>(news.scope));
-  Write(writer, news.sender);
-  writer(news.incarnation, news.sequence, news.period_ms, news.age_ms,
-         news.hosts, news.complete, news.draining);
-  WriteList(writer, news.workspaces, [&](const WorkspaceUse& use) {
-    writer(use.workspace, use.tokens_per_second, use.let_through,
-           use.given_back, use.part, use.parts, use.unheard);
+  writer(static_cast<std::uint8_t>(update.scope));
+  Write(writer, update.sender);
+  writer(update.incarnation, update.sequence, update.period_ms, update.age_ms,
+         update.hosts, update.complete, update.draining);
+  WriteList(writer, update.workspaces, [&](const WorkspaceUse& use) {
+    writer(use.workspace, use.tokens_per_second, use.admitted, use.refunded,
+           use.share, use.shares, use.unreported);
   });
-  WriteList(writer, news.tables, [&](const TableNews& table) {
-    writer(table.table, table.known.newest_change, table.known.since,
-           table.known.version, table.up, table.returned_ms);
+  WriteList(writer, update.tables, [&](const TableState& table) {
+    writer(table.table, table.history.newest_change, table.history.since,
+           table.history.version, table.up, table.recovery_age_ms);
   });
-  Write(writer, news.aggregator);
-  writer(news.settled, news.detailed);
-  if (news.detailed) WriteDetails(writer, news);
+  Write(writer, update.aggregator);
+  writer(update.settled, update.detailed);
+  if (update.detailed) WriteDetails(writer, update);
   return out.str();
 }
 
-bool IsFleetNews(std::string_view bytes) {
-  return bytes.starts_with(kNewsMark);
+bool IsFleetUpdate(std::string_view bytes) {
+  return bytes.starts_with(kUpdateMark);
 }
 
-std::optional<FleetNews> DecodeFleetNews(std::string_view bytes) {
-  return Decode<FleetNews>(kNewsMark, bytes, ReadNews);
+std::optional<FleetUpdate> DecodeFleetUpdate(std::string_view bytes) {
+  return Decode<FleetUpdate>(kUpdateMark, bytes, ReadUpdate);
 }
 
 std::optional<std::string> Encode(const TableChanges& changes) {
@@ -165,7 +168,7 @@
     writer(row.removed, row.version);
   });
   std::string bytes = out.str();
-  if (bytes.size() > kMostChangeBytes) return std::nullopt;
+  if (bytes.size() > kMaxChangesBytes) return std::nullopt;
   return bytes;
 }
 
@@ -177,21 +180,21 @@
   return Decode<TableChanges>(kChangesMark, bytes, ReadChanges);
 }
 
-std::string Encode(const TableQuestion& question) {
+std::string Encode(const TableQuery& query) {
   std::ostringstream out;
-  out << kQuestionMark;
+  out << kQueryMark;
   WireWriter writer(out);
-  WriteText(writer, question.asker);
-  writer(question.table, question.since);
+  WriteText(writer, query.requester);
+  writer(query.table, query.since);
   return out.str();
 }
 
-bool IsTableQuestion(std::string_view bytes) {
-  return bytes.starts_with(kQuestionMark);
+bool IsTableQuery(std::string_view bytes) {
+  return bytes.starts_with(kQueryMark);
 }
 
-std::optional<TableQuestion> DecodeTableQuestion(std::string_view bytes) {
-  return Decode<TableQuestion>(kQuestionMark, bytes, ReadQuestion);
+std::optional<TableQuery> DecodeTableQuery(std::string_view bytes) {
+  return Decode<TableQuery>(kQueryMark, bytes, ReadQuery);
 }
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -101,13 +101,13 @@
           }),
       sharing_(
           settings.id.str(), {&configuration_, &servers_},
-          {.hand_on =
+          {.propagate =
                [this](const TableChanges& changes) {
-                 SendChanges(peers_->fleet().Followers(), changes);
+                 SendChanges(peers_->fleet().LiveZonePeers(), changes);
                },
-           .ask = [this](const TableQuestion& question,
-                         int tries) { AskOthers(question, tries); },
-           .answer =
+           .query = [this](const TableQuery& question,
+                           int tries) { QueryPeers(question, tries); },
+           .reply =
                [this](const std::string& host, const TableChanges& changes) {
                  SendChanges({host}, changes);
                }},
@@ -124,7 +124,7 @@
   std::unique_ptr<Host> host(
       new Host(settings, std::move(platform), loop, log));
   if (auto error = host->Listen()) return *error;
-  if (auto error = host->MeetPeers()) return *error;
+  if (auto error = host->StartPeers()) return *error;
   host->forwarder_.OnWrongServer([self = host.get()](const ServerId& server) {
     // Whatever its registration says, another server answers there.
     if (self->directory_.Change(server.str(), std::nullopt,
@@ -227,16 +227,16 @@
                static_cast<double>(directory_.size()));
   metrics_.Set("gentianlb_ready", "1 when callers may come", {},
                ready() ? 1 : 0);
-  for (const TableFollower* follower : {&configuration_, &servers_}) {
+  for (const TableSubscriber* follower : {&configuration_, &servers_}) {
     const prometheus::Labels table = {{"table", follower->table()}};
     metrics_.Set("gentianlb_table_up", "1 while the table service answers",
                  table, follower->up() ? 1 : 0);
     metrics_.Set("gentianlb_table_follows",
                  "1 while this host asks the service itself", table,
-                 follower->follows() ? 1 : 0);
+                 follower->subscribed() ? 1 : 0);
     metrics_.Set("gentianlb_table_behind_seconds",
                  "Since a change is known of that isn't here", table,
-                 absl::ToDoubleSeconds(follower->Behind()));
+                 absl::ToDoubleSeconds(follower->Lag()));
   }
   metrics_.Set("gentianlb_log_lines_left_out", "For the log's bound", {},
                static_cast<double>(log_->left_out()));
--- a/src/gateway/host.h
+++ b/src/gateway/host.h
@@ -19,8 +19,8 @@
 #include "gateway/messages.h"
 #include "gateway/peers.h"
 #include "gateway/service_return.h"
-#include "gateway/table_follower.h"
 #include "gateway/table_sharing.h"
+#include "gateway/table_subscriber.h"
 #include "http/server.h"
 #include "log/bounded_log.h"
 #include "loop/event_loop.h"
@@ -70,15 +70,15 @@
        loop::EventLoop* loop, log::BoundedLog* log);
 
   std::optional<Error> Listen();
-  std::optional<Error> MeetPeers();
-  void ComposeNews(FleetNews* news);
-  void TakeOthers(const FleetNews& others);
-  void TakeOther(std::string_view bytes);
+  std::optional<Error> StartPeers();
+  void ComposeUpdate(FleetUpdate* update);
+  void OnPeersUpdate(const FleetUpdate& peers);
+  void OnPeerMessage(std::string_view bytes);
   // Lets what was heard, or wasn't, come into force.
-  void UseNews(absl::Time now);
+  void ApplyPeerState(absl::Time now);
   void SendChanges(const std::vector<std::string>& hosts,
                    const TableChanges& changes);
-  void AskOthers(const TableQuestion& question, int tries);
+  void QueryPeers(const TableQuery& query, int tries);
   void TakeRequest(http::Request request,
                    std::shared_ptr<http::Responder> responder);
   void TakeQuestion(const http::Request& request,
@@ -102,16 +102,16 @@
   Forwarder forwarder_;
   GroupLink groups_;
   EarlyRequests early_;
-  TableFollower configuration_;
-  TableFollower servers_;
+  TableSubscriber configuration_;
+  TableSubscriber servers_;
   TableSharing sharing_;
   ServiceReturn service_return_;
   std::unique_ptr<Peers> peers_;
   std::unique_ptr<http::Server> callers_;
   std::unique_ptr<http::Server> ready_;
   std::unique_ptr<http::Server> metrics_server_;
-  int hosts_told_ = 1;  // To the forwarder.
-  absl::Time hosts_told_at_ = absl::InfinitePast();
+  int reported_hosts_ = 1;  // To the forwarder.
+  absl::Time reported_hosts_at_ = absl::InfinitePast();
   std::vector<TimerId> timers_;
   TimerId expiry_ = 0;
   bool draining_ = false;
--- a/src/gateway/host_fleet.cc
+++ b/src/gateway/host_fleet.cc
@@ -1,5 +1,5 @@
-// The host's part about other hosts: what it tells them and hears of them, and
-// who follows the platform's tables.
+// Host: exchange of state with peers, and subscription to the platform's
+// tables.
 
 #include <glog/logging.h>
 
@@ -12,13 +12,13 @@
 namespace gentianlb::gateway {
 namespace {
 
-// How often the number of hosts is told to what depends on it: hosts are
-// started by the hundred.
-constexpr absl::Duration kHostsPeriod = absl::Seconds(1);
+// Minimum interval of passing the number of hosts to the forwarder, because
+// hosts are started by the hundred.
+constexpr absl::Duration kHostCountInterval = absl::Seconds(1);
 
 }  // namespace
 
-std::optional<Error> Host::MeetPeers() {
+std::optional<Error> Host::StartPeers() {
   PeersOptions options;
   options.host = settings_.id;
   options.zone = settings_.zone;
@@ -26,14 +26,14 @@
   options.address = settings_.peers;
   options.table = platform_.host_table;
   PeersHooks hooks;
-  hooks.compose = [this](FleetNews* news) { ComposeNews(news); };
-  hooks.on_others = [this](const FleetNews& others) { TakeOthers(others); };
-  hooks.on_zone = [this](const FleetNews& zone) {
-    sharing_.HeardZone(zone, loop_->now());
+  hooks.compose = [this](FleetUpdate* update) { ComposeUpdate(update); };
+  hooks.on_peers = [this](const FleetUpdate& peers) { OnPeersUpdate(peers); };
+  hooks.on_zone = [this](const FleetUpdate& zone) {
+    sharing_.OnZoneUpdate(zone, loop_->now());
   };
-  hooks.on_other = [this](std::string_view bytes) { TakeOther(bytes); };
-  hooks.on_known = [this](int hosts) { demand_.Know(hosts); };
-  hooks.on_tick = [this](absl::Time now) { UseNews(now); };
+  hooks.on_message = [this](std::string_view bytes) { OnPeerMessage(bytes); };
+  hooks.on_host_count = [this](int hosts) { demand_.Know(hosts); };
+  hooks.on_tick = [this](absl::Time now) { ApplyPeerState(now); };
   auto started =
       Peers::Start(options, platform_.table, loop_, std::move(hooks));
   if (!started.ok()) return started.error();
@@ -41,51 +41,53 @@
   return std::nullopt;
 }
 
-void Host::ComposeNews(FleetNews* news) {
-  news->draining = draining_;
-  news->servers = forwarder_.Uses();
-  news->workspaces = demand_.Tell(loop_->now());
-  news->tables = sharing_.Tell();
-  // One that follows for nobody may have been cut off alone.
-  if (!peers_->fleet().aggregates()) return;
-  for (TableNews& table : news->tables) {
-    table.returned_ms = service_return_.ToTell(loop_->now());
+void Host::ComposeUpdate(FleetUpdate* update) {
+  update->draining = draining_;
+  update->servers = forwarder_.Uses();
+  update->workspaces = demand_.Tell(loop_->now());
+  update->tables = sharing_.TableStates();
+  // Only an aggregator reports a recovery: another host may have been cut off
+  // alone.
+  if (!peers_->fleet().is_aggregator()) return;
+  for (TableState& table : update->tables) {
+    table.recovery_age_ms = service_return_.ToTell(loop_->now());
   }
 }
 
-void Host::TakeOthers(const FleetNews& others) {
+void Host::OnPeersUpdate(const FleetUpdate& peers) {
   const absl::Time now = loop_->now();
-  for (const Spent& spent : demand_.Heard(others, now)) {
+  for (const Spent& spent : demand_.Heard(peers, now)) {
     forwarder_.quotas().Spend(spent.workspace, spent.tokens, now);
   }
-  for (const TableNews& table : others.tables) {
-    service_return_.Heard(table.returned_ms, now);
+  for (const TableState& table : peers.tables) {
+    service_return_.Heard(table.recovery_age_ms, now);
     directory_.ServiceReturned(service_return_.latest());
   }
-  sharing_.HeardOthers(others, now);
-  if (others.detailed) {
-    groups_.SetDispatchers(others.dispatchers);
+  sharing_.OnPeersUpdate(peers, now);
+  if (peers.detailed) {
+    groups_.SetDispatchers(peers.dispatchers);
     absl::flat_hash_map<NameHash, ServerUse> uses;
-    for (const ServerUse& use : others.servers) uses[use.server] = use;
+    for (const ServerUse& use : peers.servers) uses[use.server] = use;
     forwarder_.UsedElsewhere(uses);
     groups_.UsedElsewhere(uses);
   }
-  UseNews(now);
+  ApplyPeerState(now);
 }
 
-void Host::TakeOther(std::string_view bytes) {
-  if (IsTableQuestion(bytes)) {
-    if (const auto question = DecodeTableQuestion(bytes)) {
-      return sharing_.Take(*question);
+void Host::OnPeerMessage(std::string_view bytes) {
+  if (IsTableQuery(bytes)) {
+    if (const auto query = DecodeTableQuery(bytes)) {
+      return sharing_.HandleMessage(*query);
     }
   } else if (IsTableChanges(bytes)) {
     if (const auto changes = DecodeTableChanges(bytes)) {
-      return sharing_.Take(*changes);
+      return sharing_.HandleMessage(*changes);
     }
   } else {
     return groups_.Take(bytes);
   }
-  // Cut or foreign. What it held is asked for, as the news tell of it.
+  // Truncated or foreign. The peers' updates name the missing change, and this
+  // host then requests it.
   LOG(WARNING) << "event=changes-unreadable bytes=" << bytes.size();
 }
 
@@ -93,7 +95,7 @@
                        const TableChanges& changes) {
   const auto bytes = Encode(changes);
   if (!bytes) {
-    // The hosts hear that there is a change, and ask the service for it.
+    // The hosts learn of the change from updates and read it from the service.
     LOG(WARNING) << "event=changes-too-long table=" << changes.table
                  << " since=" << changes.since
                  << " version=" << changes.page.version;
@@ -102,19 +104,19 @@
   for (const std::string& host : hosts) peers_->Send(host, *bytes);
 }
 
-void Host::AskOthers(const TableQuestion& question, int tries) {
-  // Before it is among the others, a host knows nobody to ask.
+void Host::QueryPeers(const TableQuery& query, int tries) {
+  // Until Peers has started, no peer is known.
   if (peers_ == nullptr) return;
-  const std::uint64_t draw =
-      absl::HashOf(question.asker, question.table, tries, loop_->now());
-  const std::string bytes = Encode(question);
-  for (const std::string& host : peers_->fleet().WhomToAsk(tries, draw)) {
+  const std::uint64_t seed =
+      absl::HashOf(query.requester, query.table, tries, loop_->now());
+  const std::string bytes = Encode(query);
+  for (const std::string& host : peers_->fleet().QueryTargets(tries, seed)) {
     peers_->Send(host, bytes);
   }
 }
 
-void Host::UseNews(absl::Time now) {
-  sharing_.Choose({peers_->fleet().aggregates(), demand_.hosts()}, now);
+void Host::ApplyPeerState(absl::Time now) {
+  sharing_.UpdateModes({peers_->fleet().is_aggregator(), demand_.hosts()}, now);
   Quotas& quotas = forwarder_.quotas();
   const std::vector<NameHash> limited = quotas.Limited();
   demand_.Agree(limited, now);
@@ -122,10 +124,10 @@
     quotas.SetPart(workspace, demand_.Part(workspace, now), now);
     quotas.SetOthers(workspace, demand_.Others(workspace, now), now);
   }
-  if (hosts_told_ == demand_.hosts()) return;
-  if (now - hosts_told_at_ < kHostsPeriod) return;
-  hosts_told_ = demand_.hosts();
-  hosts_told_at_ = now;
+  if (reported_hosts_ == demand_.hosts()) return;
+  if (now - reported_hosts_at_ < kHostCountInterval) return;
+  reported_hosts_ = demand_.hosts();
+  reported_hosts_at_ = now;
   forwarder_.ServersChanged();
 }
 
--- a/src/gateway/table_sharing.cc
+++ b/src/gateway/table_sharing.cc
@@ -9,134 +9,139 @@
 namespace gentianlb::gateway {
 namespace {
 
-// A host that hears nothing of the others for so long follows the tables by
-// itself; the next aggregator of a zone is there long before.
-constexpr absl::Duration kUnlinked = absl::Seconds(2);
+// A host that receives no state of its peers for this time polls the tables
+// itself. A lost aggregator is replaced much sooner.
+constexpr absl::Duration kPeersTimeout = absl::Seconds(2);
 
-// Where no host that is heard reaches the table service, one of all hosts tries
-// each so often.
-constexpr absl::Duration kProbePerHost = absl::Milliseconds(100);
+// Mean interval between probes of all hosts together, while no live host
+// reaches the table service.
+constexpr absl::Duration kProbeIntervalPerHost = absl::Milliseconds(100);
 
-// How many hosts follow besides the aggregators, about: a third of all hosts
-// may be turned away at once, and hardly ever all of these. Each costs at most
-// a call a second while there are changes.
-constexpr double kStandbys = 5;
+// Mean number of standbys. The service may refuse a third of all hosts at once,
+// but hardly ever all standbys. Each makes at most one call per second while
+// there are changes.
+constexpr double kMeanStandbys = 5;
 
-// From 0 to below 1, and the same after a restart.
+// Returns a value from 0 to below 1 that a restart does not change.
 double RankOf(std::string_view host) {
   constexpr double kHashes = 1ULL << 32;
   return HashName(host) / kHashes;
 }
 
-bool IsOf(const TableFollower& follower, NameHash table) {
-  return table == HashName(follower.table());
+bool IsOf(const TableSubscriber& subscriber, NameHash table) {
+  return table == HashName(subscriber.table());
 }
 
 }  // namespace
 
 TableSharing::TableSharing(std::string host,
-                           std::vector<TableFollower*> followers,
+                           std::vector<TableSubscriber*> subscribers,
                            TableSharingHooks hooks, absl::Time now)
     : rank_(RankOf(host)),
-      followers_(std::move(followers)),
+      subscribers_(std::move(subscribers)),
       hooks_(std::move(hooks)),
-      watch_(host, now),
-      others_heard_(now) {
-  for (TableFollower* follower : followers_) {
-    // Who follows shows before the first change; none probes before that.
-    follower->SetFollowing(Following::kWhenTold,
-                           /*probe_period=*/absl::InfiniteDuration());
-    const NameHash table = HashName(follower->table());
-    follower->HandOnTo(
+      monitor_election_(host, now),
+      peers_received_(now) {
+  for (TableSubscriber* subscriber : subscribers_) {
+    // The mode is chosen anew before the first change. Until then this host
+    // doesn't probe.
+    subscriber->SetMode(SubscriptionMode::kPassive,
+                        /*probe_period=*/absl::InfiniteDuration());
+    const NameHash table = HashName(subscriber->table());
+    subscriber->SetOnChanges(
         [this, table](std::uint64_t since, const TablePage& page) {
-          hooks_.hand_on({table, since, page});
+          hooks_.propagate({table, since, page});
         });
-    follower->AskOthersWith(
+    subscriber->SetOnMissing(
         [this, host, table](std::uint64_t since, int tries) {
-          hooks_.ask({host, table, since}, tries);
+          hooks_.query({host, table, since}, tries);
         });
   }
 }
 
-std::vector<TableNews> TableSharing::Tell() const {
-  std::vector<TableNews> tables;
-  for (const TableFollower* follower : followers_) {
-    TableNews news;
-    news.table = HashName(follower->table());
-    news.known = follower->Known();
-    news.up = follower->follows();
-    tables.push_back(news);
+std::vector<TableState> TableSharing::TableStates() const {
+  std::vector<TableState> tables;
+  for (const TableSubscriber* subscriber : subscribers_) {
+    TableState state;
+    state.table = HashName(subscriber->table());
+    state.history = subscriber->History();
+    state.up = subscriber->subscribed();
+    tables.push_back(state);
   }
   return tables;
 }
 
-void TableSharing::HeardOthers(const FleetNews& others, absl::Time now) {
-  others_tables_ = others.tables;
-  others_heard_ = now;
-  for (const TableNews& table : others.tables) {
-    for (TableFollower* follower : followers_) {
-      if (!IsOf(*follower, table.table)) continue;
-      follower->HeardOf(table.known);
+void TableSharing::OnPeersUpdate(const FleetUpdate& peers, absl::Time now) {
+  peer_tables_ = peers.tables;
+  peers_received_ = now;
+  for (const TableState& table : peers.tables) {
+    for (TableSubscriber* subscriber : subscribers_) {
+      if (!IsOf(*subscriber, table.table)) continue;
+      subscriber->RecordPeerHistory(table.history);
     }
   }
 }
 
-void TableSharing::HeardZone(const FleetNews& zone, absl::Time now) {
-  watch_.Heard(zone, now);
+void TableSharing::OnZoneUpdate(const FleetUpdate& zone, absl::Time now) {
+  monitor_election_.RecordUpdate(zone, now);
 }
 
-void TableSharing::Take(const TableChanges& changes) {
-  for (TableFollower* follower : followers_) {
-    if (!IsOf(*follower, changes.table)) continue;
-    const bool news = follower->TakeHandedOn(changes.since, changes.page);
-    // The service turned this host away, and perhaps others of its zone.
-    if (news && place_.aggregates) hooks_.hand_on(changes);
+void TableSharing::HandleMessage(const TableChanges& changes) {
+  for (TableSubscriber* subscriber : subscribers_) {
+    if (!IsOf(*subscriber, changes.table)) continue;
+    const bool changed =
+        subscriber->ApplyPropagated(changes.since, changes.page);
+    // The service refused this host, and may refuse others of its zone.
+    if (changed && role_.is_aggregator) hooks_.propagate(changes);
   }
 }
 
-void TableSharing::Take(const TableQuestion& question) {
-  for (const TableFollower* follower : followers_) {
-    if (!IsOf(*follower, question.table)) continue;
-    if (!follower->complete() || follower->version() <= question.since) return;
-    const std::uint64_t since = follower->AnswerableSince(question.since);
-    LOG(INFO) << "event=table-told table=" << follower->table()
-              << " to=" << question.asker << " knows=" << question.since
-              << " since=" << since << " version=" << follower->version();
-    hooks_.answer(question.asker,
-                  {question.table, since, follower->ChangesSince(since)});
+void TableSharing::HandleMessage(const TableQuery& query) {
+  for (const TableSubscriber* subscriber : subscribers_) {
+    if (!IsOf(*subscriber, query.table)) continue;
+    if (!subscriber->complete() || subscriber->version() <= query.since) return;
+    const std::uint64_t since = subscriber->ReplySince(query.since);
+    LOG(INFO) << "event=table-told table=" << subscriber->table()
+              << " to=" << query.requester << " knows=" << query.since
+              << " since=" << since << " version=" << subscriber->version();
+    hooks_.reply(query.requester,
+                 {query.table, since, subscriber->ChangesSince(since)});
   }
 }
 
-bool TableSharing::OthersFollow(const TableFollower& follower) const {
-  return std::any_of(others_tables_.begin(), others_tables_.end(),
-                     [&](const TableNews& table) {
-                       return IsOf(follower, table.table) && table.up;
+bool TableSharing::HasSubscribedPeer(const TableSubscriber& subscriber) const {
+  return std::any_of(peer_tables_.begin(), peer_tables_.end(),
+                     [&](const TableState& table) {
+                       return IsOf(subscriber, table.table) && table.up;
                      });
 }
 
 bool TableSharing::IsStandby(int hosts) const {
-  // Before it knows of others, a host can't tell.
-  return hosts > 1 && rank_ * hosts < kStandbys;
+  // With one known host, the size of the fleet is not known yet.
+  return hosts > 1 && rank_ * hosts < kMeanStandbys;
 }
 
-Following TableSharing::Choice(const TableFollower& follower,
-                               const FleetPlace& place, absl::Time now) const {
-  const bool linked = now - others_heard_ <= kUnlinked;
-  if (place.aggregates || !linked) return Following::kAlways;
-  if (IsStandby(place.hosts)) return Following::kStandby;
-  return OthersFollow(follower) ? Following::kWhenTold : Following::kProbing;
+SubscriptionMode TableSharing::ChooseMode(const TableSubscriber& subscriber,
+                                          const FleetRole& role,
+                                          absl::Time now) const {
+  const bool connected = now - peers_received_ <= kPeersTimeout;
+  if (role.is_aggregator || !connected) return SubscriptionMode::kAlways;
+  if (IsStandby(role.known_hosts)) return SubscriptionMode::kStandby;
+  return HasSubscribedPeer(subscriber) ? SubscriptionMode::kPassive
+                                       : SubscriptionMode::kProbing;
 }
 
-void TableSharing::Choose(const FleetPlace& place, absl::Time now) {
-  place_ = place;
-  const bool reaches =
-      std::all_of(followers_.begin(), followers_.end(),
-                  [](const TableFollower* one) { return one->up(); });
-  const bool watches = place.aggregates && watch_.IsWatcher(reaches, now);
-  for (TableFollower* follower : followers_) {
-    follower->SetWatching(watches);
-    follower->SetFollowing(Choice(*follower, place, now),
-                           kProbePerHost * place.hosts);
+void TableSharing::UpdateModes(const FleetRole& role, absl::Time now) {
+  role_ = role;
+  const bool reaches = std::all_of(
+      subscribers_.begin(), subscribers_.end(),
+      [](const TableSubscriber* subscriber) { return subscriber->up(); });
+  const bool is_monitor =
+      role.is_aggregator && monitor_election_.IsMonitor(reaches, now);
+  for (TableSubscriber* subscriber : subscribers_) {
+    subscriber->SetMonitoring(is_monitor);
+    subscriber->SetMode(ChooseMode(*subscriber, role, now),
+                        kProbeIntervalPerHost * role.known_hosts);
   }
 }
 
