--- a/src/schedule/counters.h
+++ b/src/schedule/counters.h
@@ -1,5 +1,5 @@
-// What a dispatcher has decided and thrown away so far, as plain numbers: for
-// the metrics page, the replay and the tests, which judge the policy by them.
+// Counters of a dispatcher's decisions and of wasted prompt work. The metrics
+// page, the replay and the tests read them.
 
 #ifndef GENTIANLB_SCHEDULE_COUNTERS_H_
 #define GENTIANLB_SCHEDULE_COUNTERS_H_
@@ -14,12 +14,12 @@
 
 namespace gentianlb::schedule {
 
-// Why computed prompt work was thrown away.
+// Why prompt work that was already computed was wasted.
 enum class WasteCause {
   kCallerGone,
   kDeadlineMissed,
-  kPowerShare,  // The share of watts shrank.
-  kPreempted,   // For a request of a higher tier.
+  kPowerShare,  // The dispatcher's power share was reduced.
+  kPreempted,   // Cancelled in favour of a request of a higher tier.
   kServerBroke,
 };
 inline constexpr std::size_t kWasteCauses = 5;
@@ -30,18 +30,20 @@
   std::uint64_t granted = 0;
   std::uint64_t completed = 0;
   std::uint64_t cancelled = 0;
-  std::uint64_t retried = 0;  // Granted again after kNotSent.
-  // By rank of the tier and code.
+  std::uint64_t retried = 0;  // Queued again after EndKind::kNotSent.
+  // Refused requests by tier rank and result code.
   std::map<std::pair<int, Code>, std::uint64_t> refused;
-  // Refused for want of room or power while a lower tier waited; stays 0.
+  // Priority inversions: requests refused for lack of capacity or power while a
+  // request of a lower tier was waiting. Expected to stay 0.
   std::uint64_t inversions = 0;
-  double prefill_computed = 0;  // Tokens, as predicted or reported.
-  std::array<double, kWasteCauses> prefill_wasted{};
-  std::uint64_t shed_by_server = 0;  // Sent to a server that had no room.
-  std::uint64_t window_cuts = 0;
-  std::uint64_t silences = 0;  // First tokens long overdue.
+  double prefill_computed = 0;  // Tokens, predicted or reported.
+  std::array<double, kWasteCauses> prefill_wasted{};  // Tokens, by WasteCause.
+  std::uint64_t shed_by_server = 0;  // Rejected by a full server.
+  std::uint64_t window_cuts = 0;     // Reductions of a concurrency window.
+  std::uint64_t silences = 0;        // First tokens found overdue.
   bool operator==(const Counters&) const = default;
 
+  // Returns the prompt tokens wasted for `cause`.
   double Wasted(WasteCause cause) const {
     return prefill_wasted[static_cast<std::size_t>(cause)];
   }
--- a/src/schedule/index.h
+++ b/src/schedule/index.h
@@ -1,6 +1,6 @@
-// Small numbers in place of names inside the decision modules. Names are
-// resolved once at the edge; orders by these numbers are the same on each run,
-// which orders of a seeded hash are not.
+// Dense integer indexes that stand for string ids inside the decision modules.
+// Ids are resolved once, when an event comes in. Iteration in index order is
+// the same on every run, unlike iteration over a hash table with a random seed.
 
 #ifndef GENTIANLB_SCHEDULE_INDEX_H_
 #define GENTIANLB_SCHEDULE_INDEX_H_
@@ -16,22 +16,23 @@
 
 using ServerIndex = std::uint32_t;
 using WorkspaceIndex = std::uint32_t;
-using PoolIndex = std::uint32_t;  // The servers that hold one model.
-using WaitIndex = std::uint32_t;
-using RunIndex = std::uint32_t;
+using PoolIndex = std::uint32_t;  // Servers that have one model loaded.
+using WaitIndex = std::uint32_t;  // A waiting request.
+using RunIndex = std::uint32_t;   // A running request.
 
 inline constexpr std::uint32_t kNoIndex =
     std::numeric_limits<std::uint32_t>::max();
 
-// Numbers names in the order in which they are first seen.
+// Interns names: gives each distinct name an index, in the order of first use.
 template <typename Name>
 class Numbering {
  public:
+  // Returns the index of `name`; adds the name if it is new.
   std::uint32_t Number(const Name& name) {
     const auto next = static_cast<std::uint32_t>(numbers_.size());
     return numbers_.try_emplace(name, next).first->second;
   }
-  // kNoIndex when `name` was never numbered.
+  // Returns the index of `name`, or kNoIndex if it was never interned.
   std::uint32_t Find(const Name& name) const {
     const auto found = numbers_.find(name);
     return found == numbers_.end() ? kNoIndex : found->second;
@@ -44,7 +45,7 @@
   absl::flat_hash_map<Name, std::uint32_t> numbers_;
 };
 
-// Records under numbers that are used again after removal.
+// Stores items under stable indexes; indexes of removed items are reused.
 template <typename T>
 class Slab {
  public:
--- a/src/schedule/options.h
+++ b/src/schedule/options.h
@@ -1,4 +1,4 @@
-// What does not change while a dispatcher lives.
+// Options of a dispatcher, fixed for its lifetime.
 
 #ifndef GENTIANLB_SCHEDULE_OPTIONS_H_
 #define GENTIANLB_SCHEDULE_OPTIONS_H_
@@ -14,17 +14,19 @@
 
 struct DispatcherOptions {
   Weights weights;
-  std::uint64_t seed = 1;  // Spreads the come-back times.
-  // Bound of the whole queue. A request without its body takes about a
-  // kilobyte here, so this many stay well below the 128 MB of control.
+  std::uint64_t seed = 1;  // Seeds the jitter of retry-after times.
+  // Maximum number of waiting requests over all tiers. A request without its
+  // body takes about 1 KB, so a full queue stays well below the 128 MB that
+  // control may use on a host.
   std::size_t max_waiting = 20000;
-  // The share until the first PowerShareChanged. Where a cap is to be kept from
-  // the start, set it to 0, and nothing that draws power is granted before.
+  // Power share in watts until the first PowerShareChanged. With 0, the
+  // dispatcher grants nothing that draws power before that event, so a power
+  // cap holds from the start.
   double initial_watts = std::numeric_limits<double>::infinity();
-  // Whether running requests may be stopped for more urgent ones. Off where a
-  // stopped one costs its caller the whole answer.
+  // Whether a running request may be cancelled in favour of a more urgent one.
+  // Disabled where a cancelled caller would lose its whole response.
   bool preempts = true;
-  // Shortest time after which a refused caller is asked to come back.
+  // Minimum retry-after time sent to a refused caller.
   absl::Duration shortest_come_back = absl::Seconds(1);
   bool operator==(const DispatcherOptions&) const = default;
 };
--- a/src/schedule/signature.h
+++ b/src/schedule/signature.h
@@ -1,5 +1,5 @@
-// A running hash over all decisions, so that two runs, hosts or builds can be
-// compared by one number: equal signatures mean equal decisions.
+// Running hash over all decisions of a dispatcher. Two runs, hosts or builds
+// with the same signature made the same decisions in the same order.
 
 #ifndef GENTIANLB_SCHEDULE_SIGNATURE_H_
 #define GENTIANLB_SCHEDULE_SIGNATURE_H_
