--- a/src/schedule/estimate.cc
+++ b/src/schedule/estimate.cc
@@ -8,31 +8,33 @@
 namespace gentianlb::schedule {
 namespace {
 
-// The median places work; the ninth decile reserves memory for it.
+// The median is used for placement, the 0.9 quantile for memory reservation.
 constexpr std::array<double, 2> kQuantiles = {0.5, 0.9};
 
-// The sketch keeps 7 markers; below about twice as many samples they are noise.
+// The sketch has 7 markers, which are noisy below about twice as many samples.
 constexpr int kMinSamples = 16;
 
-// A ninth decile is steady after some hundred samples; at one request a second
-// a change of habit is followed within the quarter of an hour.
+// The 0.9 quantile is stable after a few hundred samples. At one request per
+// second, a changed distribution is followed within about 15 minutes.
 constexpr int kSketchSamples = 1000;
 
-// About 1 KB each: 16 MB at the most. Further ones share the service's sketch.
+// About 1 KB each, 16 MB in total. Requests beyond the limit use the sketch of
+// the whole service.
 constexpr std::size_t kMaxSketches = 16384;
 
-// Before anything is known: a paragraph, and an answer four times as long.
-constexpr OutputEstimate kFirstGuess = {.median = 256, .high = 1024};
+// Default without any samples: one paragraph, and four times that.
+constexpr OutputEstimate kDefaultEstimate = {.median = 256, .high = 1024};
 
-// Lengths are close to log-normal; what has outgrown the ninth decile goes on
-// for about half as long again.
-constexpr double kOvergrowth = 1.5;
+// Lengths are roughly log-normal: an output that exceeds the 0.9 quantile is
+// expected to end at about 1.5 times its current length.
+constexpr double kOverrunFactor = 1.5;
 
-// An answer half as long as the median is common; a guess may be off by ten.
-// Without the latter, requests whose bound looks out of reach would never run,
-// and so nothing would ever be learnt of them.
-constexpr double kHopeful = 0.5;
-constexpr double kHopefulGuess = 0.05;
+// Optimistic output length as a fraction of the median. Half the median is
+// common. A default may be wrong by a factor of 10; without the lower fraction,
+// requests that seem to miss their deadline would never run, so their true
+// lengths would never be learnt.
+constexpr double kOptimisticFactor = 0.5;
+constexpr double kOptimisticDefaultFactor = 0.05;
 
 int Bounded(double tokens, int bound) {
   const int rounded = std::max(1, static_cast<int>(std::lround(tokens)));
@@ -47,25 +49,25 @@
 
 }  // namespace
 
-LengthSketch::LengthSketch() : young_(Fresh()) {}
+LengthSketch::LengthSketch() : current_(MakeAccumulator()) {}
 
-LengthSketch::Accumulator LengthSketch::Fresh() {
+LengthSketch::Accumulator LengthSketch::MakeAccumulator() {
   return Accumulator(
       boost::accumulators::tag::extended_p_square::probabilities = kQuantiles);
 }
 
 void LengthSketch::Add(double tokens) {
-  young_(tokens);
-  ++young_count_;
-  if (young_count_ < kSketchSamples) return;
-  old_ = Quantiles();
-  young_ = Fresh();
-  young_count_ = 0;
+  current_(tokens);
+  ++current_count_;
+  if (current_count_ < kSketchSamples) return;
+  previous_ = Quantiles();
+  current_ = MakeAccumulator();
+  current_count_ = 0;
 }
 
 std::optional<OutputEstimate> LengthSketch::Quantiles() const {
-  if (young_count_ < kMinSamples) return old_;
-  const auto quantiles = boost::accumulators::extended_p_square(young_);
+  if (current_count_ < kMinSamples) return previous_;
+  const auto quantiles = boost::accumulators::extended_p_square(current_);
   const int median = Bounded(quantiles[0], 0);
   const int high = std::max(median, Bounded(quantiles[1], 0));
   return OutputEstimate{.median = median, .high = high, .learnt = true};
@@ -84,7 +86,8 @@
                                          WorkspaceIndex workspace) const {
   const int bound = request.max_output_tokens;
   if (request.expected_output_tokens > 0) {
-    // Right in the middle and often far off: nine in ten stay under thrice.
+    // Caller estimates are unbiased but imprecise: about 90 % of the outputs
+    // stay below three times the estimate.
     constexpr double kHintSpread = 3;
     const int hint = request.expected_output_tokens;
     return Bounded(OutputEstimate{.median = hint,
@@ -96,11 +99,12 @@
   if (found != sketches_.end()) {
     if (const auto own = found->second.Quantiles()) return Bounded(*own, bound);
   }
-  // The caller's bound says more of a new kind of request than the others do.
+  // For a new kind of request, the caller's output limit predicts the length
+  // better than other requests of the service do.
   if (bound > 0) return {.median = std::max(1, bound / 2), .high = bound};
-  OutputEstimate guess = service_.Quantiles().value_or(kFirstGuess);
-  guess.learnt = false;
-  return guess;
+  OutputEstimate estimate = service_.Quantiles().value_or(kDefaultEstimate);
+  estimate.learnt = false;
+  return estimate;
 }
 
 void OutputEstimator::Learn(const Request& request, WorkspaceIndex workspace,
@@ -116,22 +120,23 @@
 }
 
 int OutputEstimator::ServiceMedian() const {
-  return service_.Quantiles().value_or(kFirstGuess).median;
+  return service_.Quantiles().value_or(kDefaultEstimate).median;
 }
 
 double HopefulOutput(const OutputEstimate& estimate) {
-  return estimate.median * (estimate.learnt ? kHopeful : kHopefulGuess);
+  return estimate.median *
+         (estimate.learnt ? kOptimisticFactor : kOptimisticDefaultFactor);
 }
 
 OutputEstimate Corrected(const OutputEstimate& estimate, int streamed,
                          int bound) {
   if (streamed < estimate.median) return estimate;
-  const int grown =
-      std::max(estimate.high, Bounded(streamed * kOvergrowth, bound));
+  const int extended =
+      std::max(estimate.high, Bounded(streamed * kOverrunFactor, bound));
   if (streamed < estimate.high) {
     return {estimate.high, estimate.high, estimate.learnt};
   }
-  return Bounded(OutputEstimate{.median = grown, .high = grown}, bound);
+  return Bounded(OutputEstimate{.median = extended, .high = extended}, bound);
 }
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/estimate.h
+++ b/src/schedule/estimate.h
@@ -1,14 +1,15 @@
-// How many tokens a request will put out, before anyone knows.
+// Estimates the number of output tokens of a request before it runs.
 //
-// Load pattern: output lengths differ a hundredfold, a tender draft beside a
-// one-line size question. Without an estimate, deadlines are judged by a guess,
-// fairness counts requests instead of work, and memory for running streams is
-// either overrun or left idle.
+// Load pattern: output lengths differ by a factor of 100, from a tender draft
+// to a one-line response. Without an estimate, the dispatcher could not judge
+// whether a deadline is reachable, fairness would count requests instead of
+// work, and the memory of running streams would be overcommitted or left idle.
 //
-// Quantiles come from the P-square sketch of Boost.Accumulators: constant
-// memory, no samples kept. One sketch each for a workspace, tier and order of
-// magnitude of the caller's bound, since one workspace sends both drafts and
-// tags. What has streamed already corrects the estimate.
+// The quantiles come from the P-square sketch of Boost.Accumulators, which uses
+// constant memory and keeps no samples. There is one sketch per workspace, tier
+// and order of magnitude of the caller's output limit, because one workspace
+// may send both long drafts and short tags. The tokens already streamed correct
+// the estimate of a running request.
 
 #ifndef GENTIANLB_SCHEDULE_ESTIMATE_H_
 #define GENTIANLB_SCHEDULE_ESTIMATE_H_
@@ -26,22 +27,24 @@
 
 namespace gentianlb::schedule {
 
-// Tokens of one answer.
+// Estimated number of output tokens of one request.
 struct OutputEstimate {
   int median = 0;
-  int high = 0;         // Nine in ten are no longer.
-  bool learnt = false;  // From such requests; else a guess.
+  int high = 0;  // 0.9 quantile.
+  // True if derived from similar requests or the caller's own estimate; false
+  // if it is a default.
+  bool learnt = false;
   auto operator<=>(const OutputEstimate&) const = default;
 };
 
-// Quantiles of a stream that may change its habits: after kSketchSamples a
-// fresh sketch takes over, or a workspace that turns from tags to drafts would
-// be judged by its past for days.
+// Tracks quantiles of output lengths whose distribution may change over time.
+// Starts a new sketch after every kSketchSamples samples; otherwise a workspace
+// that switches from tags to drafts would be estimated from old data for days.
 class LengthSketch {
  public:
   LengthSketch();
   void Add(double tokens);
-  // Nothing before enough samples are in.
+  // Returns nothing until there are enough samples.
   std::optional<OutputEstimate> Quantiles() const;
 
  private:
@@ -49,25 +52,32 @@
       double,
       boost::accumulators::stats<boost::accumulators::tag::extended_p_square>>;
 
-  static Accumulator Fresh();
+  static Accumulator MakeAccumulator();
 
-  Accumulator young_;
-  int young_count_ = 0;
-  std::optional<OutputEstimate> old_;
+  Accumulator current_;
+  int current_count_ = 0;
+  std::optional<OutputEstimate> previous_;  // From the sketch before.
 };
 
+// Learns output lengths from completed requests and estimates those of new
+// ones.
 class OutputEstimator {
  public:
+  // Returns the estimate for `request`: from the caller's own estimate if
+  // given, else from similar requests, else a default.
   OutputEstimate Estimate(const Request& request,
                           WorkspaceIndex workspace) const;
+  // Records the output length of a completed request.
   void Learn(const Request& request, WorkspaceIndex workspace,
              int output_tokens);
 
-  // The typical answer of the whole service; what is far above it is long.
+  // Returns the median output length of the whole service, in tokens. Requests
+  // well above it are classed as long.
   int ServiceMedian() const;
 
  private:
-  // Workspace; tier and order of magnitude of the caller's bound.
+  // Workspace, and a number that combines the tier with the order of magnitude
+  // of the caller's output limit.
   using Key = std::pair<WorkspaceIndex, std::uint32_t>;
 
   static Key KeyOf(const Request& request, WorkspaceIndex workspace);
@@ -76,12 +86,12 @@
   LengthSketch service_;
 };
 
-// The length of an answer that turns out short. What could not finish even so
-// is hopeless.
+// Returns an optimistic output length in tokens. A request that would miss its
+// deadline even with this length is not worth starting.
 double HopefulOutput(const OutputEstimate& estimate);
 
-// What `estimate` becomes once `streamed` tokens are out. `bound` is the
-// caller's own, 0 for none.
+// Returns `estimate` corrected for `streamed` tokens already received. `bound`
+// is the caller's output limit in tokens; 0 means none.
 OutputEstimate Corrected(const OutputEstimate& estimate, int streamed,
                          int bound);
 
