--- a/src/schedule/fleet.cc
+++ b/src/schedule/fleet.cc
@@ -8,22 +8,24 @@
 namespace gentianlb::schedule {
 namespace {
 
-// The request by which servers are ordered in the index: a page of prompt and
-// a paragraph of answer. Only the order matters; the candidates from the front
-// are then compared by the request itself.
-constexpr Demand kTypical = {.prefill_tokens = 1000,
-                             .output_tokens = 250,
-                             .kv_tokens = 0,
-                             .plain = false};
-
-// A server that looks slow gets no work, and without work no news: what was
-// learnt is believed half as much after each of these intervals.
-constexpr absl::Duration kForgetInterval = absl::Seconds(1);
-
-// Most news changes the key by less than this, and the order hardly at all; the
-// candidates are compared exactly.
+// The request whose predicted finish time orders the servers in the index: one
+// page of prompt and one paragraph of output. Only the order matters; Placer
+// then compares the first few servers by the actual request.
+constexpr Demand kTypicalDemand = {.prefill_tokens = 1000,
+                                   .output_tokens = 250,
+                                   .kv_tokens = 0,
+                                   .plain = false};
+
+// A server that seems slow gets no work, and without work its measured speed is
+// never updated. So the measured slowdown of an idle server is halved after
+// each of these intervals.
+constexpr absl::Duration kRecheckInterval = absl::Seconds(1);
+
+// Relative change of the key below which a server keeps its place in the index.
+// Most updates change the key by less; Placer compares the candidates exactly.
 constexpr double kKeyTolerance = 0.02;
 
+// Returns whether `server` may take work, now or after a suspicion is cleared.
 bool Usable(const Server& server) {
   return server.configured && (server.health == ServerHealth::kAlive ||
                                server.health == ServerHealth::kSuspect);
@@ -41,15 +43,16 @@
   for (Pool& pool : pools_) pool.servers.clear();
   std::vector<ServerIndex> configured;
   for (const ServerSpec& spec : specs) {
-    const ServerIndex server = numbers_.Number(spec.id);
+    const ServerIndex server = server_ids_.Number(spec.id);
     if (server == servers_.size()) {
       servers_.emplace_back(spec);
       entries_.emplace_back();
     }
     servers_[server].Configure(spec);
-    // A plain service has no models.
-    if (spec.models.empty()) Join(server, ModelId());
-    for (const ModelId& model : spec.models) Join(server, model);
+    // Servers of a plain service list no models and form the pool of the empty
+    // model.
+    if (spec.models.empty()) AddToPool(server, ModelId());
+    for (const ModelId& model : spec.models) AddToPool(server, model);
     configured.push_back(server);
   }
   SummarizePools();
@@ -57,18 +60,18 @@
   return configured;
 }
 
-PoolIndex Fleet::PoolOf(const ModelId& model) {
+PoolIndex Fleet::FindOrAddPool(const ModelId& model) {
   const PoolIndex index = models_.Number(model);
   if (index == pools_.size()) pools_.push_back(Pool{.model = model});
   return index;
 }
 
-void Fleet::Join(ServerIndex server, const ModelId& model) {
-  const PoolIndex index = PoolOf(model);
-  std::vector<PoolIndex>& joined = servers_[server].pools;
-  // A model that is listed twice would put the server into the pool twice.
-  if (std::find(joined.begin(), joined.end(), index) != joined.end()) return;
-  joined.push_back(index);
+void Fleet::AddToPool(ServerIndex server, const ModelId& model) {
+  const PoolIndex index = FindOrAddPool(model);
+  std::vector<PoolIndex>& pools = servers_[server].pools;
+  // A configuration may list a model twice.
+  if (std::find(pools.begin(), pools.end(), index) != pools.end()) return;
+  pools.push_back(index);
   pools_[index].servers.push_back(server);
 }
 
@@ -99,9 +102,9 @@
 
 void Fleet::Unindex(ServerIndex server) {
   IndexEntry& entry = entries_[server];
-  if (entry.reopening != absl::InfiniteFuture()) {
-    reopenings_.erase({entry.reopening, server});
-    entry.reopening = absl::InfiniteFuture();
+  if (entry.recheck_at != absl::InfiniteFuture()) {
+    rechecks_.erase({entry.recheck_at, server});
+    entry.recheck_at = absl::InfiniteFuture();
   }
   if (!entry.open) return;
   for (const PoolIndex pool : servers_[server].pools) {
@@ -117,29 +120,29 @@
   const Server& server = servers_[index];
   const bool probing = server.window.probing();
   const bool open = server.Open(now);
-  // A probe that is due goes to the front, or a server that once was slow
-  // would never be asked again while others have room.
+  // A server that is due for a probe goes to the front with key 0. Otherwise it
+  // would get no request while other servers have free capacity.
   double key = 0;
   if (open && !probing) {
-    key = server.spec.reluctance * server.FinishSeconds(kTypical, now);
+    key = server.spec.reluctance * server.FinishSeconds(kTypicalDemand, now);
   }
-  if (open && !probing && StaysInPlace(index, key)) return;
+  if (open && !probing && KeepsPlace(index, key)) return;
 
   Unindex(index);
   IndexEntry& entry = entries_[index];
   if (!server.window.OpenAt(now)) {
-    entry.reopening = server.window.closed_until();
-    reopenings_.insert({entry.reopening, index});
+    entry.recheck_at = server.window.closed_until();
+    rechecks_.insert({entry.recheck_at, index});
     return;
   }
   if (!open) return;
   entry.key = key;
   entry.open = true;
   entry.prefilling = server.prefilling() > 0;
-  const bool unasked = server.running() == 0 && server.pace.stretched();
-  if (probing || unasked) {
-    entry.reopening = now + kForgetInterval;
-    reopenings_.insert({entry.reopening, index});
+  const bool idle_slow = server.running() == 0 && server.pace.stretched();
+  if (probing || idle_slow) {
+    entry.recheck_at = now + kRecheckInterval;
+    rechecks_.insert({entry.recheck_at, index});
   }
   for (const PoolIndex pool : server.pools) {
     pools_[pool].open.insert({entry.key, index});
@@ -149,10 +152,10 @@
   }
 }
 
-bool Fleet::StaysInPlace(ServerIndex index, double key) const {
+bool Fleet::KeepsPlace(ServerIndex index, double key) const {
   const IndexEntry& entry = entries_[index];
   const Server& server = servers_[index];
-  return entry.open && entry.reopening == absl::InfiniteFuture() &&
+  return entry.open && entry.recheck_at == absl::InfiniteFuture() &&
          server.running() > 0 &&
          entry.prefilling == (server.prefilling() > 0) &&
          std::abs(key - entry.key) <= kKeyTolerance * entry.key;
@@ -170,16 +173,16 @@
 }
 
 absl::Time Fleet::NextReopening() const {
-  if (reopenings_.empty()) return absl::InfiniteFuture();
-  return reopenings_.begin()->first;
+  if (rechecks_.empty()) return absl::InfiniteFuture();
+  return rechecks_.begin()->first;
 }
 
 bool Fleet::Reopen(absl::Time now) {
   bool any = false;
-  while (!reopenings_.empty() && reopenings_.begin()->first <= now) {
-    const ServerIndex server = reopenings_.begin()->second;
-    // Without this, a server whose last answers were slow beyond any deadline
-    // would get no probe that could clear it.
+  while (!rechecks_.empty() && rechecks_.begin()->first <= now) {
+    const ServerIndex server = rechecks_.begin()->second;
+    // Without this, a server whose predicted times exceed every deadline would
+    // never get the request that could show it has recovered.
     if (servers_[server].running() == 0) servers_[server].pace.Forget();
     Reindex(server, now);
     any = true;
--- a/src/schedule/fleet.h
+++ b/src/schedule/fleet.h
@@ -1,9 +1,9 @@
-// The servers of one service and zone, and for each model an index of those
-// that can take work now, the quickest first.
+// The backend servers of one service and availability zone, with an index per
+// model of the servers that can take work now, fastest first.
 //
-// Load pattern: a thousand servers and ten thousand decisions a second. Looking
-// at every server for every request costs as much as there are servers; the
-// index makes a decision cost O(log n), whatever the size.
+// Load pattern: 1000 servers and 10,000 decisions per second. Scanning every
+// server for every request would cost O(n) per decision; the index costs
+// O(log n).
 
 #ifndef GENTIANLB_SCHEDULE_FLEET_H_
 #define GENTIANLB_SCHEDULE_FLEET_H_
@@ -21,31 +21,35 @@
 
 namespace gentianlb::schedule {
 
-// The servers that hold one model. Those of a plain service, which list none,
-// make the pool of the empty model.
+// The servers that have one model loaded. Servers of a plain service list no
+// models and form the pool of the empty model.
 struct Pool {
   ModelId model;
-  std::vector<ServerIndex> servers;  // Configured.
-  // Those with room, by the time a typical request would take there.
+  std::vector<ServerIndex> servers;  // All configured servers of the pool.
+  // Servers with free capacity, ordered by predicted seconds of a typical
+  // request.
   absl::btree_set<std::pair<double, ServerIndex>> open;
-  // Those of them that compute prompts now: there, one more prompt draws no
-  // further watts.
+  // The servers of `open` that are computing prompts. One more prompt there
+  // does not raise the worst-case power of prefill.
   absl::btree_set<std::pair<double, ServerIndex>> open_prefilling;
-  // The fastest of its servers that may come to take work.
+  // Highest configured speeds of the usable servers, in tokens per second.
   double best_prefill_speed = 0;
   double best_decode_speed = 0;
-  int usable = 0;       // Alive or suspect.
-  double capacity = 0;  // Tokens of work a second, all windows full.
+  int usable = 0;       // Number of configured servers alive or suspect.
+  double capacity = 0;  // Tokens of work per second with all windows full.
 };
 
+// Keeps the state of all servers and finds those that can take a request.
 class Fleet {
  public:
-  // Numbers of servers that are new or changed, in the order given.
+  // Replaces the configuration of all servers and rebuilds the pools. Returns
+  // the indexes of the servers in `specs`, in the same order. Servers that are
+  // no longer configured take no new work.
   std::vector<ServerIndex> Configure(const std::vector<ServerSpec>& specs,
                                      absl::Time now);
 
-  // kNoIndex when unknown.
-  ServerIndex Find(const ServerId& id) const { return numbers_.Find(id); }
+  // Return kNoIndex if the server or model is unknown.
+  ServerIndex Find(const ServerId& id) const { return server_ids_.Find(id); }
   PoolIndex FindPool(const ModelId& model) const { return models_.Find(model); }
 
   Server& at(ServerIndex server) { return servers_[server]; }
@@ -54,41 +58,46 @@
   std::size_t size() const { return servers_.size(); }
   std::size_t pools() const { return pools_.size(); }
 
+  // Sets the health of `server` and updates its pools and index entry.
   void SetHealth(ServerIndex server, ServerHealth health, absl::Time now);
 
-  // To be called after any change to a server, or its index entry is stale.
+  // Updates the index entry of `server`. Must be called after any change to it.
   void Reindex(ServerIndex server, absl::Time now);
 
-  // The part of what runs on a pool's servers that this dispatcher has granted,
-  // as far as the others' is known.
+  // Returns the fraction of the pool's running streams that this dispatcher
+  // granted. Counts the streams of other dispatchers only where they are known.
   double OwnPart(PoolIndex pool, absl::Time now) const;
 
-  // When the next closed server may be probed, or an idle one be forgiven.
+  // Returns when the next closed server may be probed, or the measured slowdown
+  // of the next idle server is halved; InfiniteFuture() if never.
   absl::Time NextReopening() const;
-  // Takes up those that are due; true when there were any.
+  // Rechecks the servers that are due. Returns whether there were any.
   bool Reopen(absl::Time now);
 
  private:
   struct IndexEntry {
-    double key = 0;
-    bool open = false;
-    bool prefilling = false;
-    absl::Time reopening = absl::InfiniteFuture();
+    double key = 0;           // Seconds; orders the servers of a pool.
+    bool open = false;        // Whether the server is in Pool::open.
+    bool prefilling = false;  // Whether it is in Pool::open_prefilling.
+    absl::Time recheck_at = absl::InfiniteFuture();
   };
 
-  PoolIndex PoolOf(const ModelId& model);
-  void Join(ServerIndex server, const ModelId& model);
+  PoolIndex FindOrAddPool(const ModelId& model);
+  void AddToPool(ServerIndex server, const ModelId& model);
+  // Recomputes the totals of all pools.
   void SummarizePools();
   void Unindex(ServerIndex server);
-  // Whether the entry is still right but for a little.
-  bool StaysInPlace(ServerIndex server, double key) const;
+  // Returns whether the entry stays valid, because `key` differs from the
+  // entry's key by at most the tolerance and nothing else changed.
+  bool KeepsPlace(ServerIndex server, double key) const;
 
-  Numbering<ServerId> numbers_;
+  Numbering<ServerId> server_ids_;
   Numbering<ModelId> models_;
   std::deque<Server> servers_;
   std::vector<IndexEntry> entries_;
   std::vector<Pool> pools_;
-  absl::btree_set<std::pair<absl::Time, ServerIndex>> reopenings_;
+  // Times at which servers are rechecked.
+  absl::btree_set<std::pair<absl::Time, ServerIndex>> rechecks_;
 };
 
 }  // namespace gentianlb::schedule
