--- a/src/schedule/limits.cc
+++ b/src/schedule/limits.cc
@@ -5,36 +5,37 @@
 namespace gentianlb::schedule {
 namespace {
 
-// A workspace may use ten seconds of its rate at once: bursts of a form being
-// sent are let through, a loop is not.
+// Capacity of a workspace's token bucket, as seconds of its rate. Allows short
+// bursts, such as a form being submitted, but not a client that sends in a
+// loop.
 constexpr double kBurstSeconds = 10;
 
-// Weights come from operators; zero would stop a workspace for ever.
+// Weights are operator input; a weight of 0 would block a workspace forever.
 constexpr double kMinWeight = 0.001;
 
 }  // namespace
 
 void TokenBucket::SetRate(double per_second, double capacity, absl::Time now) {
-  // A new rate starts with a full bucket; the same one keeps its debt.
+  // An unchanged rate keeps the level, including a negative one.
   if (per_second == rate_ && capacity == capacity_) return;
   rate_ = per_second;
   capacity_ = capacity;
   level_ = capacity;
-  filled_ = now;
+  refilled_at_ = now;
 }
 
 void TokenBucket::Rescale(double per_second, double capacity, absl::Time now) {
   if (capacity_ <= 0) return SetRate(per_second, capacity, now);
-  Empty(now);  // Earned so far at the old rate.
-  if (level_ > 0) level_ *= capacity / capacity_;  // A debt stays what it is.
+  Empty(now);  // Adds the tokens earned at the old rate.
+  if (level_ > 0) level_ *= capacity / capacity_;  // A debt is not scaled.
   rate_ = per_second;
   capacity_ = capacity;
 }
 
 bool TokenBucket::Empty(absl::Time now) {
-  const double earned = rate_ * absl::ToDoubleSeconds(now - filled_);
+  const double earned = rate_ * absl::ToDoubleSeconds(now - refilled_at_);
   level_ = std::min(capacity_, level_ + earned);
-  filled_ = now;
+  refilled_at_ = now;
   return level_ <= 0;
 }
 
@@ -44,7 +45,7 @@
 }
 
 WorkspaceIndex WorkspaceLimits::Number(const WorkspaceId& id) {
-  const WorkspaceIndex index = numbers_.Number(id);
+  const WorkspaceIndex index = ids_.Number(id);
   if (index == states_.size()) {
     states_.emplace_back();
     states_[index].spec.id = id;
--- a/src/schedule/limits.h
+++ b/src/schedule/limits.h
@@ -1,10 +1,7 @@
-// What a workspace may ask for, and how often a failed connection may be tried
-// again.
+// Limits per workspace: token rate, concurrent requests and queue space.
 //
-// Load pattern: one workspace, or one key of it, sends without end; a rack goes
-// and thousands of connections fail at once. Without limits the loud workspace
-// fills the queue for all; without a budget the retries of a failure are a
-// burst of their own that keeps the rest of the servers down.
+// Load pattern: one workspace, or one of its API keys, sends requests without
+// end. Without limits it would fill the queue for all workspaces.
 
 #ifndef GENTIANLB_SCHEDULE_LIMITS_H_
 #define GENTIANLB_SCHEDULE_LIMITS_H_
@@ -19,41 +16,51 @@
 
 namespace gentianlb::schedule {
 
-// Fills steadily; may go into debt, so that one request larger than the bucket
-// is not refused for ever.
+// A token bucket whose level may become negative, so that a request larger than
+// the capacity is not refused forever.
 class TokenBucket {
  public:
+  // Sets rate and capacity. A changed rate or capacity fills the bucket.
   void SetRate(double per_second, double capacity, absl::Time now);
-  // The same, but what it holds changes in the same proportion: a rate that is
-  // changed often must not fill the bucket each time. A debt stays.
+  // Sets rate and capacity and scales a positive level in proportion, so that
+  // frequent rate changes do not refill the bucket. Keeps a negative level.
   void Rescale(double per_second, double capacity, absl::Time now);
+  // Adds the tokens earned until `now`. Returns whether the level is 0 or less.
   bool Empty(absl::Time now);
+  // Removes `tokens`; the level may become negative.
   void Take(double tokens) { level_ -= tokens; }
-  // How long until it holds more than `level`.
+  // Returns the time until the bucket holds `level` tokens; zero if it holds
+  // more or the rate is 0.
   absl::Duration UntilFilled(double level = 0) const;
   double level() const { return level_; }
 
  private:
-  double rate_ = 0;
+  double rate_ = 0;  // Tokens per second.
   double capacity_ = 0;
   double level_ = 0;
-  absl::Time filled_;
+  absl::Time refilled_at_;
 };
 
+// Describes which limit a request exceeds.
 struct LimitBreach {
   Code code = Code::kRateLimited;
-  absl::Duration retry_after;  // Zero: when its own backlog has drained.
+  absl::Duration retry_after;  // Zero: once the workspace's backlog drains.
   bool operator==(const LimitBreach&) const = default;
 };
 
+// Counts the waiting and running requests of each workspace and checks them
+// against its limits.
 class WorkspaceLimits {
  public:
+  // Returns the index of a workspace; adds it with default limits if it is new.
   WorkspaceIndex Number(const WorkspaceId& id);
   void Configure(const std::vector<WorkspaceSpec>& specs, absl::Time now);
 
+  // Returns the fair-queueing weight, which is always positive.
   double weight(WorkspaceIndex workspace) const;
 
-  // Whether one more request may come in; nothing is counted yet.
+  // Returns the limit that one more request would exceed, if any. Does not
+  // count the request.
   std::optional<LimitBreach> Check(WorkspaceIndex workspace,
                                    const Request& request, absl::Time now);
 
@@ -61,6 +68,7 @@
   void WaitsNoMore(WorkspaceIndex workspace, const Request& request);
   void Runs(WorkspaceIndex workspace) { ++states_[workspace].running; }
   void RunsNoMore(WorkspaceIndex workspace) { --states_[workspace].running; }
+  // Takes `tokens` from the workspace's token bucket.
   void Charge(WorkspaceIndex workspace, double tokens);
 
  private:
@@ -72,7 +80,7 @@
     int running = 0;
   };
 
-  Numbering<WorkspaceId> numbers_;
+  Numbering<WorkspaceId> ids_;
   std::vector<State> states_;
 };
 
