--- a/src/schedule/pace.cc
+++ b/src/schedule/pace.cc
@@ -5,55 +5,64 @@
 namespace gentianlb::schedule {
 namespace {
 
-// Three samples carry two thirds of the quick average: a straggler that gives
-// a few answers a second is known within two or three seconds.
-constexpr double kQuickWeight = 0.3;
-
-// The normal follows within some hundred samples, and a straggler moves it ten
-// times more slowly, so that it stays a straggler until it is well.
+// Weight of a sample in the short-term average. The last three samples make up
+// two thirds of it, so a straggler with a few responses per second is detected
+// within two or three seconds.
+constexpr double kRecentWeight = 0.3;
+
+// Weights of a sample in the long-term average, which adapts within a few
+// hundred samples. Samples of a straggler move it ten times more slowly, so
+// that the server counts as a straggler until it recovers.
 constexpr double kNormalWeight = 0.02;
 constexpr double kStragglerWeight = 0.002;
 
-// A loaded batch stretches up to about twice; beyond three it is a fault.
-constexpr double kStragglerStretch = 3;
+// A full batch slows a server down by up to about 2; above 3 it is a fault.
+constexpr double kStragglerSlowdown = 3;
+
+// Slowdown above which a server counts as slower than expected.
+constexpr double kMinSlowdown = 1.05;
 
-// So close to its expectation, an idle server has nothing to be forgiven. The
-// normal is forgotten slowly: a server that is always slower than configured
-// is asked again only now and then.
-constexpr double kStretched = 1.05;
-constexpr double kForgetNormal = 0.9;
+// Factor by which the long-term average decays without samples. It decays
+// slowly, so that a server that is always slower than configured is retried
+// only occasionally.
+constexpr double kNormalDecay = 0.9;
 
-// No engine is so far off its configuration; a larger sample is a pause.
+// Limits of a sample. No engine is this far from its configured speed; a larger
+// sample is a pause.
 constexpr double kMaxSample = 100;
 constexpr double kMinSample = 0.05;
 
-// Each further stream of a batch costs some per cent of the step time; the
-// stretch learns what this first guess misses.
+// Increase of the step time per additional stream of a batch. The measured
+// slowdown makes up for the error of this estimate.
 constexpr double kBatchSlope = 0.02;
 
-// Two hops of about a millisecond each way.
+// Two hops of about 1 ms each way.
 constexpr double kRoundTripSeconds = 0.005;
 
-// What a first token takes beyond its prompt: the median of prompts below 300
-// tokens, measured on 112 servers at full load (p10 35 ms, p75 460 ms).
-constexpr double kUsualRestSeconds = 0.1;
+// Typical time to a first token in addition to the prompt: the median over
+// prompts below 300 tokens on 112 servers at full load (p10 35 ms, p75 460 ms).
+constexpr double kTypicalRestSeconds = 0.1;
 
-// For a server without a configured speed.
+// Tokens per second of a server without a configured speed.
 constexpr double kDefaultPrefillSpeed = 5000;
 constexpr double kDefaultDecodeSpeed = 50;
 
-// A lookup of a plain service; the first call replaces it. Kinds of calls
-// differ tenfold in length, so that a single long one says nothing: a mean over
-// some twenty calls tells servers apart.
-constexpr double kCallSeconds = 0.02;
+// Initial estimate for a call of a plain service; the first call replaces it.
+constexpr double kInitialCallSeconds = 0.02;
+
+// Weight of a call in the moving average. Durations differ by a factor of 10
+// between kinds of calls, so a single long call means little; an average over
+// about 20 calls shows which servers are slow.
 constexpr double kCallWeight = 0.05;
 
-// How much longer a step takes with `streams` in the batch than with one.
+// Returns the step time of a batch of `streams` relative to a batch of one.
 double BatchFactor(int streams) {
   return 1 + kBatchSlope * std::max(0, streams - 1);
 }
 
-double SecondsEach(double speed, double fallback) {
+// Returns the seconds per token at `speed` tokens per second, or at `fallback`
+// if `speed` is not positive.
+double SecondsPerToken(double speed, double fallback) {
   return 1 / (speed > 0 ? speed : fallback);
 }
 
@@ -61,57 +70,58 @@
 
 void Stretch::Add(double sample) {
   sample = std::clamp(sample, kMinSample, kMaxSample);
-  if (samples_ < kEnough) {
-    // A plain mean at first, and the quick average as soon as it is quicker.
+  if (samples_ < kEnoughSamples) {
+    // The arithmetic mean at first. The short-term average never gives a sample
+    // less than kRecentWeight.
     const double weight = 1.0 / ++samples_;
-    quick_ += std::max(kQuickWeight, weight) * (sample - quick_);
+    recent_ += std::max(kRecentWeight, weight) * (sample - recent_);
     normal_ += weight * (sample - normal_);
     return;
   }
-  const bool usual = sample < normal_ * kStragglerStretch;
-  quick_ += kQuickWeight * (sample - quick_);
-  normal_ += (usual ? kNormalWeight : kStragglerWeight) * (sample - normal_);
+  const bool normal = sample < normal_ * kStragglerSlowdown;
+  recent_ += kRecentWeight * (sample - recent_);
+  normal_ += (normal ? kNormalWeight : kStragglerWeight) * (sample - normal_);
 }
 
-void Stretch::Told(double stretch) {
-  if (samples_ >= kEnough) return;
-  stretch = std::clamp(stretch, kMinSample, kMaxSample);
-  quick_ = stretch;
-  normal_ = stretch;
+void Stretch::Told(double slowdown) {
+  if (samples_ >= kEnoughSamples) return;
+  slowdown = std::clamp(slowdown, kMinSample, kMaxSample);
+  recent_ = slowdown;
+  normal_ = slowdown;
 }
 
 bool Stretch::straggling() const {
-  return quick_ > kStragglerStretch * std::max(1.0, normal_);
+  return recent_ > kStragglerSlowdown * std::max(1.0, normal_);
 }
 
-bool Stretch::stretched() const { return quick_ > kStretched; }
+bool Stretch::stretched() const { return recent_ > kMinSlowdown; }
 
 void Stretch::Forget() {
-  if (quick_ > kStretched * normal_) {
-    quick_ = (quick_ + normal_) / 2;
+  if (recent_ > kMinSlowdown * normal_) {
+    recent_ = (recent_ + normal_) / 2;
     return;
   }
-  // What seemed normal may itself stem from a slow time.
-  normal_ = std::max(1.0, normal_ * kForgetNormal);
-  quick_ = std::min(quick_, normal_);
+  // The long-term average may come from a period in which the server was slow.
+  normal_ = std::max(1.0, normal_ * kNormalDecay);
+  recent_ = std::min(recent_, normal_);
 }
 
 Pace::Pace(const ServerSpec& spec)
-    : prefill_token_(
-          SecondsEach(spec.prefill_tokens_per_second, kDefaultPrefillSpeed)),
-      decode_token_(
-          SecondsEach(spec.decode_tokens_per_second, kDefaultDecodeSpeed)),
-      guessed_(spec.speeds_guessed),
+    : prefill_token_seconds_(SecondsPerToken(spec.prefill_tokens_per_second,
+                                             kDefaultPrefillSpeed)),
+      decode_token_seconds_(
+          SecondsPerToken(spec.decode_tokens_per_second, kDefaultDecodeSpeed)),
+      estimated_(spec.speeds_guessed),
       prefill_(spec.speeds_guessed),
       decode_(spec.speeds_guessed),
-      call_seconds_(kCallSeconds) {}
+      call_seconds_(kInitialCallSeconds) {}
 
 double Pace::PrefillSeconds(double tokens) const {
-  return tokens * prefill_token_ * prefill_.quick();
+  return tokens * prefill_token_seconds_ * prefill_.quick();
 }
 
 double Pace::TokenSeconds(int streams) const {
-  return decode_token_ * BatchFactor(streams) * decode_.quick();
+  return decode_token_seconds_ * BatchFactor(streams) * decode_.quick();
 }
 
 double Pace::CallSeconds() const { return call_seconds_; }
@@ -122,41 +132,44 @@
 
 FirstTokenTime Pace::ExpectedFirstToken(double prefill_tokens,
                                         int streams) const {
-  const double prompt = prefill_tokens * prefill_token_;
-  if (guessed_) return {prompt, overhead_ + TokenSeconds(streams)};
-  return {prompt, kRoundTripSeconds + decode_token_ * BatchFactor(streams)};
+  const double prompt = prefill_tokens * prefill_token_seconds_;
+  if (estimated_) return {prompt, overhead_ + TokenSeconds(streams)};
+  return {prompt,
+          kRoundTripSeconds + decode_token_seconds_ * BatchFactor(streams)};
 }
 
 double Pace::Seconds(const FirstTokenTime& expected) const {
-  const double stretch = guessed_ ? prefill_.quick() : 1;
-  return expected.prompt * stretch + expected.rest;
+  const double slowdown = estimated_ ? prefill_.quick() : 1;
+  return expected.prompt * slowdown + expected.rest;
 }
 
 void Pace::AddFirstToken(double seconds, const FirstTokenTime& expected) {
-  if (guessed_) return LearnFirstToken(seconds, expected);
+  if (estimated_) return LearnFirstToken(seconds, expected);
   prefill_.Add(seconds / Seconds(expected));
 }
 
-// Each part takes as much of the error as its weight in the expectation, as in
-// a least squares fit whose errors grow with what they are errors of.
+// Splits the prediction error between the prompt and the rest in proportion to
+// their squares, as in a least squares fit with relative errors.
 void Pace::LearnFirstToken(double seconds, const FirstTokenTime& expected) {
-  const double prompt = expected.prompt * expected.prompt;
-  const double rest = std::max(expected.rest, kUsualRestSeconds);
-  const double share = prompt / (prompt + rest * rest);
+  const double prompt_squared = expected.prompt * expected.prompt;
+  const double rest = std::max(expected.rest, kTypicalRestSeconds);
+  const double prompt_share = prompt_squared / (prompt_squared + rest * rest);
   const double error = seconds - Seconds(expected);
   if (expected.prompt > 0) {
-    prefill_.Add(prefill_.quick() + share * error / expected.prompt);
+    prefill_.Add(prefill_.quick() + prompt_share * error / expected.prompt);
   }
-  overhead_ = std::max(0.0, overhead_ + kQuickWeight * (1 - share) * error);
+  overhead_ =
+      std::max(0.0, overhead_ + kRecentWeight * (1 - prompt_share) * error);
 }
 
-void Pace::AddTokens(double seconds_each, int streams) {
-  decode_.Add(seconds_each / (decode_token_ * BatchFactor(streams)));
+void Pace::AddTokens(double seconds_per_token, int streams) {
+  decode_.Add(seconds_per_token /
+              (decode_token_seconds_ * BatchFactor(streams)));
 }
 
 void Pace::AddCall(double seconds) {
-  call_seconds_ += (called_ ? kCallWeight : 1) * (seconds - call_seconds_);
-  called_ = true;
+  call_seconds_ += (has_calls_ ? kCallWeight : 1) * (seconds - call_seconds_);
+  has_calls_ = true;
 }
 
 void Pace::Told(double prefill, double decode) {
@@ -180,7 +193,7 @@
 }
 
 double Pace::prefill_speed() const {
-  return 1 / (prefill_token_ * prefill_.quick());
+  return 1 / (prefill_token_seconds_ * prefill_.quick());
 }
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/pace.h
+++ b/src/schedule/pace.h
@@ -1,13 +1,14 @@
-// How fast a server works, learnt from its own answers.
+// Estimates the speed of a backend server from its responses.
 //
-// Load pattern: engines of several generations, configured speeds that are a
-// first guess, and stragglers that slow down without warning while their load
-// report, seconds old, still looks well. Without it, work keeps going to a slow
-// server because it looks idle.
+// Load pattern: engines of several generations, configured speeds that are only
+// estimates, and stragglers that slow down suddenly while their last load
+// report still shows little load. Without measured speeds, a slow server looks
+// idle and keeps getting work.
 //
-// Speeds are kept as a stretch: measured over expected time. The quick average
-// predicts; the slow one is what is normal for this server. A straggler is one
-// whose quick average is far above its normal.
+// Speed is tracked as a slowdown: measured time divided by expected time. A
+// short-term average is used for predictions, a long-term average is the normal
+// slowdown of the server. A straggler is a server whose short-term average is
+// far above its normal slowdown.
 
 #ifndef GENTIANLB_SCHEDULE_PACE_H_
 #define GENTIANLB_SCHEDULE_PACE_H_
@@ -16,86 +17,104 @@
 
 namespace gentianlb::schedule {
 
-// Measured over expected time, as a quick and a slow average.
+// Short-term and long-term average of measured time divided by expected time.
 class Stretch {
  public:
-  // When the expectation is a guess, the first samples replace it.
-  explicit Stretch(bool guessed) : samples_(guessed ? 0 : kEnough) {}
+  // `estimated`: the expected times are only estimates, and the first samples
+  // replace them.
+  explicit Stretch(bool estimated) : samples_(estimated ? 0 : kEnoughSamples) {}
 
+  // Adds one measurement: measured time divided by expected time.
   void Add(double sample);
-  // What others have learnt, until there are enough own samples.
-  void Told(double stretch);
+  // Sets both averages to a slowdown measured by other dispatchers, unless
+  // there are enough own samples.
+  void Told(double slowdown);
+  // Whether the averages rest on own samples or a certain expectation.
   bool own() const { return samples_ > 0; }
-  double quick() const { return quick_; }
+  double quick() const { return recent_; }
   bool straggling() const;
-  bool stretched() const;  // Above the expectation.
-  // No sample for long: believe half of what was bad.
+  bool stretched() const;  // Slower than expected.
+  // Moves the averages toward normal. Called when there are no new samples.
   void Forget();
 
  private:
-  // Samples after which an average stands on its own.
-  static constexpr int kEnough = 20;
+  // Number of samples after which the averages replace an uncertain
+  // expectation.
+  static constexpr int kEnoughSamples = 20;
 
-  double quick_ = 1;
-  double normal_ = 1;
-  int samples_;
+  double recent_ = 1;  // Short-term average.
+  double normal_ = 1;  // Long-term average.
+  int samples_;        // Up to kEnoughSamples.
 };
 
-// What a first token is expected to take.
+// Expected time to the first token.
 struct FirstTokenTime {
-  double prompt = 0;  // Seconds of prompt work, as configured.
-  double rest = 0;    // Seconds of all else.
+  double prompt = 0;  // Seconds to compute the prompt at the configured speed.
+  double rest = 0;    // Seconds of everything else.
   auto operator<=>(const FirstTokenTime&) const = default;
 };
 
+// Learns how much slower a server is than configured, and predicts times.
 class Pace {
  public:
   explicit Pace(const ServerSpec& spec);
 
-  // Seconds to compute `tokens` of prompts, one after the other.
+  // Returns the seconds to compute `tokens` prompt tokens sequentially.
   double PrefillSeconds(double tokens) const;
-  // Seconds between two tokens of one stream among `streams`.
+  // Returns the seconds between two tokens of a stream when `streams` streams
+  // run.
   double TokenSeconds(int streams) const;
-  // Seconds of one call of a plain service.
+  // Returns the mean seconds of a call of a plain service.
   double CallSeconds() const;
-  // Seconds to the first token, with `prefill_tokens` to be computed before it.
+  // Returns the seconds to the first token when `prefill_tokens` must be
+  // computed before it.
   double FirstTokenSeconds(double prefill_tokens, int streams) const;
 
-  // The expectation of a sample, to be taken when the request is sent.
+  // Returns the expected time that AddFirstToken() compares a measurement with.
+  // Must be called when the request is sent.
   FirstTokenTime ExpectedFirstToken(double prefill_tokens, int streams) const;
-  // The same as one figure.
+  // Returns `expected` as a total in seconds.
   double Seconds(const FirstTokenTime& expected) const;
 
+  // Adds the measured time to a first token.
   void AddFirstToken(double seconds, const FirstTokenTime& expected);
-  void AddTokens(double seconds_each, int streams);
+  // Adds the measured seconds per output token, with `streams` streams running.
+  void AddTokens(double seconds_per_token, int streams);
+  // Adds the measured duration of a call of a plain service.
   void AddCall(double seconds);
+  // Sets the slowdowns measured by other dispatchers, until there are enough
+  // own samples.
   void Told(double prefill, double decode);
+  // Moves all learnt values toward normal. Called when there are no new
+  // samples.
   void Forget();
 
   bool straggling() const;
   bool stretched() const;        // Slower than configured.
-  double prefill_speed() const;  // Tokens a second, as learnt.
+  double prefill_speed() const;  // Prompt tokens per second, as learnt.
   double prefill_stretch() const { return prefill_.quick(); }
   double decode_stretch() const { return decode_.quick(); }
-  // Whether own answers have taught something.
+  // Whether own responses have been measured for both prefill and decode, or
+  // the configured speeds are certain.
   bool learnt() const { return prefill_.own() && decode_.own(); }
 
  private:
   void LearnFirstToken(double seconds, const FirstTokenTime& expected);
 
-  double prefill_token_;  // Seconds, configured.
-  double decode_token_;   // Seconds of a stream alone, configured.
-  bool guessed_;          // Both speeds are only a first guess.
+  double prefill_token_seconds_;  // As configured.
+  double decode_token_seconds_;   // Of a single stream, as configured.
+  bool estimated_;                // Whether both speeds are only estimates.
   Stretch prefill_;
   Stretch decode_;
-  // Seconds to a first token beyond prompt and step: the way, and the engine's
-  // own queue. Kept apart from the prompt's pace: as a part of it, the 100 ms
-  // that short prompts wait for a slot would foretell 600 ms for long ones,
-  // which then are refused while servers have room. Only where speeds are
-  // guessed: configured ones tell a queue from a slow engine.
+  // Seconds to a first token in addition to the prompt and one decode step:
+  // network and the engine's own queue. Kept separate from the prefill
+  // slowdown; otherwise the 100 ms that short prompts wait for a slot would
+  // predict 600 ms for long ones, which would then be refused although servers
+  // have capacity. Learnt only where the speeds are estimates: with known
+  // speeds, a queue can be distinguished from a slow engine.
   double overhead_ = 0;
-  double call_seconds_;  // Mean of the calls, learnt.
-  bool called_ = false;
+  double call_seconds_;  // Moving average.
+  bool has_calls_ = false;
 };
 
 }  // namespace gentianlb::schedule
