--- a/src/schedule/power.cc
+++ b/src/schedule/power.cc
@@ -7,7 +7,7 @@
 namespace gentianlb::schedule {
 namespace {
 
-// Rounded up: the bound holds to the last milliwatt.
+// Converts watts to milliwatts, rounded up so that sums never underestimate.
 std::int64_t Milliwatts(double watts) {
   return static_cast<std::int64_t>(std::ceil(watts * 1000));
 }
@@ -28,9 +28,9 @@
 }
 
 void PowerLedger::SetShare(double watts) {
-  constexpr double kMax = 1e15;  // No bound; far from overflow.
+  constexpr double kMaxWatts = 1e15;  // Effectively unlimited; avoids overflow.
   share_ = static_cast<std::int64_t>(
-      std::floor(std::clamp(watts, 0.0, kMax) * kMilli));
+      std::floor(std::clamp(watts, 0.0, kMaxWatts) * kMilliwattsPerWatt));
 }
 
 void PowerLedger::Begin(ServerIndex server, bool prefilling) {
@@ -65,44 +65,44 @@
 
 bool PowerLedger::Fits(ServerIndex server, double reserve) const {
   const Draw& draw = draws_[server];
-  Draw more = draw;
-  ++more.streams;
-  ++more.prefilling;
-  const std::int64_t extra = Worst(more) - Worst(draw);
+  Draw with_request = draw;
+  ++with_request.streams;
+  ++with_request.prefilling;
+  const std::int64_t extra = WorstCase(with_request) - WorstCase(draw);
   const std::int64_t above_idle = std::max<std::int64_t>(0, share_ - idle_);
-  // With nothing running the reserve is void, or a small share would never let
-  // the lower tiers have anything.
-  const auto kept = streams_ == 0
-                        ? 0
-                        : static_cast<std::int64_t>(
-                              static_cast<double>(above_idle) * reserve);
-  // A server that draws nothing more needs no room.
-  return extra == 0 || worst_ + extra <= share_ - kept;
+  // The reserve does not apply while nothing runs; otherwise a small share
+  // would never admit a request of a lower tier.
+  const auto reserved = streams_ == 0
+                            ? 0
+                            : static_cast<std::int64_t>(
+                                  static_cast<double>(above_idle) * reserve);
+  // A request that adds no worst-case power always fits.
+  return extra == 0 || worst_case_ + extra <= share_ - reserved;
 }
 
-std::int64_t PowerLedger::Worst(const Draw& draw) {
+std::int64_t PowerLedger::WorstCase(const Draw& draw) {
   const bool on = draw.on || draw.streams > 0;
   return (on ? draw.idle : 0) + draw.streams * draw.stream +
          (draw.prefilling > 0 ? draw.prefill : 0);
 }
 
-std::int64_t PowerLedger::Settled(const Draw& draw) {
-  Draw settled = draw;
-  settled.streams -= draw.cancelling;
-  settled.prefilling -= draw.cancelling_prefill;
-  return Worst(settled);
+std::int64_t PowerLedger::WorstCaseAfterCancels(const Draw& draw) {
+  Draw remaining = draw;
+  remaining.streams -= draw.cancelling;
+  remaining.prefilling -= draw.cancelling_prefill;
+  return WorstCase(remaining);
 }
 
 template <typename Change>
 void PowerLedger::Update(ServerIndex server, Change change) {
   Draw& draw = draws_[server];
-  worst_ -= Worst(draw);
-  settled_ -= Settled(draw);
+  worst_case_ -= WorstCase(draw);
+  after_cancels_ -= WorstCaseAfterCancels(draw);
   idle_ -= draw.on ? draw.idle : 0;
   streams_ -= draw.streams - draw.cancelling;
   change(draw);
-  worst_ += Worst(draw);
-  settled_ += Settled(draw);
+  worst_case_ += WorstCase(draw);
+  after_cancels_ += WorstCaseAfterCancels(draw);
   idle_ += draw.on ? draw.idle : 0;
   streams_ += draw.streams - draw.cancelling;
 }
--- a/src/schedule/power.h
+++ b/src/schedule/power.h
@@ -1,16 +1,19 @@
-// Ledger of watts: what the servers may draw at worst, against the share.
+// Keeps the worst-case power of all servers within the dispatcher's power
+// share.
 //
-// Load pattern: the site's cap lets not all engines run at full load at once,
-// and the share moves while work runs. Without a ledger every host sees idle
-// servers and fills them, and the site trips its cap.
+// Load pattern: the site's power cap does not allow all engines to run at full
+// load at once, and the share changes while requests run. Without this limit,
+// every host would fill the idle servers it sees, and the site would exceed its
+// cap.
 //
-// Worst case of one server with n streams granted and not known to have ended:
+// Worst case of one server with n streams granted and not known to be complete:
 //   idle + n * watts_per_stream
 //        + joules_per_prefill_token * prefill_tokens_per_second
-// where the last term counts while any of the n has shown no first token, as
-// then a prefill may run at full speed. Work in doubt, cancelled but not yet
-// ended, counts as running. Sums are whole milliwatts: floating point would
-// drift by rounding over days and let the bound slip.
+// where the last term counts while any of the n streams has no first token yet,
+// because a prefill may then run at full speed. A cancelled request counts as
+// running until its completion is reported. Sums are integers in milliwatts:
+// rounding errors of floating-point sums would accumulate over days and violate
+// the bound.
 
 #ifndef GENTIANLB_SCHEDULE_POWER_H_
 #define GENTIANLB_SCHEDULE_POWER_H_
@@ -23,57 +26,70 @@
 
 namespace gentianlb::schedule {
 
+// Tracks the worst-case power of all servers against the power share.
 class PowerLedger {
  public:
-  // Sets or replaces what `server` draws. `on`: whether its idle draw counts
-  // against this share.
+  // Sets the power model of `server`. `on`: whether its idle power counts
+  // against this share even without streams.
   void SetServer(ServerIndex server, const ServerSpec& spec, bool on);
 
   void SetShare(double watts);
 
-  // One stream more or less; `prefilling` while its first token is out.
+  // Adds a stream. `prefilling`, here and below: it has no first token yet.
   void Begin(ServerIndex server, bool prefilling);
+  // Records the first token of a stream. `cancelling`, here and below: the
+  // stream is being cancelled.
   void FirstToken(ServerIndex server, bool cancelling);
+  // Records that a stream is being cancelled. It counts until it is removed.
   void Cancelling(ServerIndex server, bool prefilling);
+  // Removes a stream.
   void End(ServerIndex server, bool prefilling, bool cancelling);
 
-  // Whether one more request on `server` stays within the share less
-  // `reserve`, a fraction of what is left above idle.
+  // Returns whether one more request on `server` stays within the share minus
+  // `reserve`, a fraction of the share above idle power.
   bool Fits(ServerIndex server, double reserve) const;
 
-  double watts() const { return static_cast<double>(worst_) / kMilli; }
-  double share() const { return static_cast<double>(share_) / kMilli; }
+  // Returns the worst-case power of all servers.
+  double watts() const {
+    return static_cast<double>(worst_case_) / kMilliwattsPerWatt;
+  }
+  double share() const {
+    return static_cast<double>(share_) / kMilliwattsPerWatt;
+  }
 
-  // Even with all cancelled work gone, the share is exceeded.
-  bool MustCancel() const { return settled_ > share_ && streams_ > 0; }
+  // Returns whether the share is exceeded even when all requests that are being
+  // cancelled have completed.
+  bool MustCancel() const { return after_cancels_ > share_ && streams_ > 0; }
 
  private:
-  static constexpr double kMilli = 1000;
+  static constexpr double kMilliwattsPerWatt = 1000;
 
   struct Draw {
-    std::int64_t idle = 0;
-    std::int64_t stream = 0;
-    std::int64_t prefill = 0;
+    std::int64_t idle = 0;     // Milliwatts.
+    std::int64_t stream = 0;   // Milliwatts per stream.
+    std::int64_t prefill = 0;  // Milliwatts while computing prompts.
     bool on = false;
     int streams = 0;
-    int prefilling = 0;
-    int cancelling = 0;
-    int cancelling_prefill = 0;
+    int prefilling = 0;          // Of `streams`: no first token yet.
+    int cancelling = 0;          // Of `streams`: being cancelled.
+    int cancelling_prefill = 0;  // Of `prefilling`: being cancelled.
   };
 
-  static std::int64_t Worst(const Draw& draw);
-  static std::int64_t Settled(const Draw& draw);
+  static std::int64_t WorstCase(const Draw& draw);
+  // Returns the worst case without the streams that are being cancelled.
+  static std::int64_t WorstCaseAfterCancels(const Draw& draw);
 
-  // Applies `change` to one server and keeps the sums.
+  // Applies `change` to one server and updates the sums.
   template <typename Change>
   void Update(ServerIndex server, Change change);
 
   std::vector<Draw> draws_;
-  std::int64_t worst_ = 0;    // All that may draw.
-  std::int64_t settled_ = 0;  // Without what is being cancelled.
+  // Sums over all servers, in milliwatts.
+  std::int64_t worst_case_ = 0;
+  std::int64_t after_cancels_ = 0;  // Without streams being cancelled.
   std::int64_t idle_ = 0;
-  std::int64_t share_ = 0;
-  int streams_ = 0;  // Not being cancelled.
+  std::int64_t share_ = 0;  // Milliwatts.
+  int streams_ = 0;         // Not being cancelled.
 };
 
 }  // namespace gentianlb::schedule
