--- a/src/schedule/place.cc
+++ b/src/schedule/place.cc
@@ -7,38 +7,44 @@
 namespace gentianlb::schedule {
 namespace {
 
-// The front of the index and the deepest holders. Two random candidates already
-// come close to the best (power of two choices); eight of the best leave little
-// to gain and cost under a microsecond.
-constexpr std::size_t kQuickest = 8;
-constexpr std::size_t kHolders = 8;
-constexpr std::size_t kPrefilling = 4;
-
-// How far between the median and the ninth decile an answer is judged while
-// others wait: an even chance to be late is too little then, as the room would
-// serve another. Where thrown away prompts weigh more it is the ninth decile.
+// Maximum numbers of candidates: the fastest open servers, the servers with the
+// most of the prompt cached, and the fastest that are already computing
+// prompts. Two random candidates come close to the best choice (power of two
+// choices); more than the best 8 gain little. Scoring costs under 1 us.
+constexpr std::size_t kMaxFastest = 8;
+constexpr std::size_t kMaxHolders = 8;
+constexpr std::size_t kMaxPrefilling = 4;
+
+// Position between the median (0) and the 0.9 quantile (1) of the output length
+// assumed while other requests wait. With the median, a request could have
+// an even chance of being late and use capacity that another could use.
+// Deployments that weight wasted prefill above goodput use the 0.9 quantile.
 constexpr double kContendedSpread = 0.25;
 
-// A prompt computed anew costs more than the seconds of its own request: it
-// keeps others' prompts waiting, draws the watts of many streams, and pushes
-// other prefixes out of the cache.
-constexpr double kUncachedCost = 10;
-
-// Delay scheduling, as known from clusters that store data: to wait a little
-// for the server that has the data is better than to compute it again
-// elsewhere, for goodput as well as for waste. Never for more than half of the
-// time until it becomes urgent. Of 10, 30 and 120 s in the bench, more was
-// better for goodput over all tiers, but 120 s cost the top tier up to 10 % of
-// its own.
-constexpr absl::Duration kPatience = absl::Seconds(120);
-constexpr absl::Duration kTopPatience = absl::Seconds(30);
-constexpr double kWorthWaiting = 512;  // Tokens: a tenth of a second.
-constexpr double kMostOfIt = 0.5;
-
-// A probe must not cost a request its deadline: it may take twice as long as
-// predicted.
+// Cost of a second of uncached prompt work relative to a second of finish time.
+// Computing a prompt also delays other prompts, draws as much power as many
+// streams, and evicts other prefixes from the cache.
+constexpr double kUncachedCostFactor = 10;
+
+// Delay scheduling, as in clusters with data locality: waiting a short time for
+// the server that has the prompt cached improves both goodput and waste
+// compared with computing it elsewhere. The wait is at most half of the time
+// until the request becomes urgent. A longer limit improves goodput over all
+// tiers, but 120 s reduces the goodput of the top tier by up to 10 %.
+constexpr absl::Duration kMaxCacheWait = absl::Seconds(120);
+constexpr absl::Duration kMaxTopTierCacheWait = absl::Seconds(30);
+
+// A request waits only if the best server has at least this many more prompt
+// tokens cached, about 0.1 s of prefill, and the candidate has less than this
+// fraction of them.
+constexpr double kMinTokensToWaitFor = 512;
+constexpr double kMinCachedFraction = 0.5;
+
+// A server that is being probed may take this many times longer than predicted;
+// a probe must not make a request miss its deadline.
 constexpr double kProbeMargin = 2;
 
+// Appends the first `limit` servers of `from`.
 void AddFront(const absl::btree_set<std::pair<double, ServerIndex>>& from,
               std::size_t limit, std::vector<ServerIndex>* candidates) {
   for (const auto& [key, server] : from) {
@@ -51,16 +57,17 @@
   return std::find(servers.begin(), servers.end(), server) != servers.end();
 }
 
-void Prefer(Hindrance hindrance, Placement* best) {
+// Records a reason why one candidate was rejected.
+void Block(Hindrance hindrance, Placement* best) {
   if (best->hindrance == Hindrance::kNone) return;
   best->hindrance = std::max(best->hindrance, hindrance);
 }
 
 }  // namespace
 
-// An engine in a special role does the other half of the work at the cost of
-// what it is meant for; that half counts twice.
-double MisfitSeconds(const Server& server, const Demand& demand) {
+// Returns the penalty in seconds for using an engine outside its role. Such
+// work delays the work that the engine is dedicated to, so it counts twice.
+double RoleMismatchSeconds(const Server& server, const Demand& demand) {
   switch (server.spec.role) {
     case ServerRole::kMixed:
       return 0;
@@ -73,8 +80,8 @@
   return 0;
 }
 
-// What all candidates of one request are judged by.
-struct Placer::Choice {
+// The request and the limits that all its candidates are checked against.
+struct Placer::Criteria {
   const Waiting& waiting;
   const Reserves& reserves;
   const Search& search;
@@ -82,11 +89,12 @@
   absl::Time now;
   double seconds_left = 0;
   double first_token_left = 0;  // Seconds.
-  double output = 0;            // Tokens by which lateness is judged.
-  bool hopeful = false;
-  bool patient = false;    // May still wait for who has its prompt.
-  double best_cached = 0;  // Tokens, on whichever server has most.
+  double output = 0;            // Output tokens to assume.
+  bool optimistic = false;      // See SearchScope.
+  bool may_wait = false;        // May wait for a server with the prompt cached.
+  double best_cached = 0;       // Most prompt tokens cached on any server.
 
+  // Returns whether `server` is excluded for this request.
   bool IsClosed(const Fleet& fleet, ServerIndex server) const {
     if (server == waiting.avoid && fleet.pool(waiting.pool).usable > 1) {
       return true;
@@ -99,32 +107,34 @@
   }
 };
 
-double Placer::JudgedOutput(const Waiting& waiting, bool contended) const {
+double Placer::AssumedOutputTokens(const Waiting& waiting,
+                                   bool contended) const {
   const double median = waiting.output.median;
   const double spread = waiting.output.high - median;
-  // A guess must not keep out what would teach better.
+  // A default must not block requests whose responses would provide real data.
   if (!waiting.output.learnt) return HopefulOutput(waiting.output);
   if (weights_.wasted_prefill > weights_.goodput) return median + spread;
   return contended ? median + kContendedSpread * spread : median;
 }
 
-bool Placer::Patient(const Waiting& waiting, absl::Time now) const {
+bool Placer::MayWaitForCache(const Waiting& waiting, absl::Time now) const {
   const bool top = waiting.request.tier.rank == 0;
-  const absl::Duration patience = std::min(
-      top ? kTopPatience : kPatience, (waiting.urgent_at - waiting.since) / 2);
-  return now - waiting.since < patience;
+  const absl::Duration max_wait =
+      std::min(top ? kMaxTopTierCacheWait : kMaxCacheWait,
+               (waiting.urgent_at - waiting.since) / 2);
+  return now - waiting.since < max_wait;
 }
 
 double Placer::BestCached(const PrefixCache::Lookup& lookup,
                           absl::Time now) const {
   std::vector<ServerIndex> holders;
-  lookup.DeepestHolders(kHolders, &holders);
+  lookup.DeepestHolders(kMaxHolders, &holders);
   double best = 0;
   for (const ServerIndex holder : holders) {
     const Server& server = fleet_.at(holder);
-    const bool well = server.configured && !server.window.probing() &&
-                      server.health == ServerHealth::kAlive;
-    if (well) best = std::max(best, lookup.CachedTokens(holder, now));
+    const bool healthy = server.configured && !server.window.probing() &&
+                         server.health == ServerHealth::kAlive;
+    if (healthy) best = std::max(best, lookup.CachedTokens(holder, now));
   }
   return best;
 }
@@ -137,11 +147,11 @@
   }
   const Pool& pool = fleet_.pool(waiting.pool);
   candidates_.clear();
-  AddFront(pool.open, kQuickest, &candidates_);
-  // With little power left, those that compute prompts already may be the only
-  // ones that fit.
-  AddFront(pool.open_prefilling, kPrefilling, &candidates_);
-  lookup.DeepestHolders(kHolders, &candidates_);
+  AddFront(pool.open, kMaxFastest, &candidates_);
+  // With little power left, only servers that are already computing prompts may
+  // fit.
+  AddFront(pool.open_prefilling, kMaxPrefilling, &candidates_);
+  lookup.DeepestHolders(kMaxHolders, &candidates_);
 }
 
 Placement Placer::Place(const Waiting& waiting, const Reserves& reserves,
@@ -150,8 +160,8 @@
   if (fleet_.pool(waiting.pool).open.empty()) return best;
   if ((*search.closed_pools)[waiting.pool]) return best;
   const PrefixCache::Lookup lookup = cache_.Find(waiting.marks);
-  const bool patient = !waiting.marks.empty() && Patient(waiting, now);
-  const Choice choice{
+  const bool may_wait = !waiting.marks.empty() && MayWaitForCache(waiting, now);
+  const Criteria criteria{
       .waiting = waiting,
       .reserves = reserves,
       .search = search,
@@ -160,86 +170,89 @@
       .seconds_left = absl::ToDoubleSeconds(waiting.request.deadline - now),
       .first_token_left =
           absl::ToDoubleSeconds(waiting.request.first_token_due - now),
-      .output = JudgedOutput(waiting, search.contended),
-      .hopeful = search.hopeful,
-      .patient = patient,
-      .best_cached = patient ? BestCached(lookup, now) : 0};
+      .output = AssumedOutputTokens(waiting, search.contended),
+      .optimistic = search.hopeful,
+      .may_wait = may_wait,
+      .best_cached = may_wait ? BestCached(lookup, now) : 0};
   Collect(waiting, search, lookup);
   double best_score = std::numeric_limits<double>::infinity();
   for (const ServerIndex server : candidates_) {
-    Consider(server, choice, &best, &best_score);
+    Consider(server, criteria, &best, &best_score);
   }
   return best;
 }
 
-void Placer::Consider(ServerIndex index, const Choice& choice, Placement* best,
-                      double* best_score) const {
+void Placer::Consider(ServerIndex index, const Criteria& criteria,
+                      Placement* best, double* best_score) const {
   const Server& server = fleet_.at(index);
-  const Waiting& waiting = choice.waiting;
+  const Waiting& waiting = criteria.waiting;
   const auto& pools = server.pools;
   if (std::find(pools.begin(), pools.end(), waiting.pool) == pools.end()) {
-    return;  // Holds the prefix for another model.
+    return;  // Has the prefix cached for another model.
   }
-  if (!server.Open(choice.now)) return;
-  const int kept =
-      static_cast<int>(choice.reserves.streams * server.window.streams());
-  if (server.FreeStreams(choice.now) <= kept && server.running() > 0) {
-    return Prefer(Hindrance::kReserved, best);
+  if (!server.Open(criteria.now)) return;
+  const int reserved =
+      static_cast<int>(criteria.reserves.streams * server.window.streams());
+  if (server.FreeStreams(criteria.now) <= reserved && server.running() > 0) {
+    return Block(Hindrance::kReserved, best);
   }
-  if (choice.IsClosed(fleet_, index)) return;
+  if (criteria.IsClosed(fleet_, index)) return;
 
   const double cached =
       std::min<double>(waiting.request.prompt_tokens,
-                       choice.lookup.CachedTokens(index, choice.now));
+                       criteria.lookup.CachedTokens(index, criteria.now));
   Demand demand;
   demand.prefill_tokens = waiting.request.prompt_tokens - cached;
-  demand.output_tokens = choice.output;
+  demand.output_tokens = criteria.output;
   demand.kv_tokens = waiting.request.prompt_tokens + waiting.output.high;
   demand.plain = waiting.request.model.empty();
 
   if (!server.MemoryFits(demand.kv_tokens) ||
       !server.PrefillFits(demand.prefill_tokens)) {
     const bool first = best->server == kNoIndex;
-    const bool roomier =
+    const bool more_memory =
         first || server.FreeMemory() > fleet_.at(best->server).FreeMemory();
-    if (best->hindrance != Hindrance::kNone && roomier) best->server = index;
-    return Prefer(Hindrance::kTooLarge, best);
+    if (best->hindrance != Hindrance::kNone && more_memory)
+      best->server = index;
+    return Block(Hindrance::kTooLarge, best);
   }
-  if (!power_.Fits(index, choice.reserves.power)) {
-    return Prefer(Hindrance::kNoPower, best);
+  if (!power_.Fits(index, criteria.reserves.power)) {
+    return Block(Hindrance::kNoPower, best);
   }
 
-  // Patience: the server that has the prompt may take it soon.
-  const bool misplaced = choice.best_cached - cached > kWorthWaiting &&
-                         cached < kMostOfIt * choice.best_cached;
-  if (choice.patient && misplaced) return Prefer(Hindrance::kTooSlow, best);
-
-  // Time: not where it would be late.
-  double finish = server.FinishSeconds(demand, choice.now);
-  if (choice.hopeful) {
-    Demand hopeful = demand;
-    hopeful.output_tokens = HopefulOutput(waiting.output);
-    finish = server.FinishSeconds(hopeful, choice.now);
+  // Delay scheduling: the server that has the prompt cached may become free
+  // soon.
+  const bool misplaced = criteria.best_cached - cached > kMinTokensToWaitFor &&
+                         cached < kMinCachedFraction * criteria.best_cached;
+  if (criteria.may_wait && misplaced) return Block(Hindrance::kTooSlow, best);
+
+  // Rejects servers on which the request would be late.
+  double finish = server.FinishSeconds(demand, criteria.now);
+  if (criteria.optimistic) {
+    Demand optimistic = demand;
+    optimistic.output_tokens = HopefulOutput(waiting.output);
+    finish = server.FinishSeconds(optimistic, criteria.now);
   }
   const bool probe = server.window.probing();
   const double margin = probe ? kProbeMargin : 1;
-  if (finish * margin > choice.seconds_left) {
-    return Prefer(Hindrance::kTooSlow, best);
+  if (finish * margin > criteria.seconds_left) {
+    return Block(Hindrance::kTooSlow, best);
   }
   const double first =
-      server.FirstTokenSeconds(demand.prefill_tokens, choice.now);
-  if (!demand.plain && first * margin > choice.first_token_left) {
-    return Prefer(Hindrance::kTooSlow, best);
+      server.FirstTokenSeconds(demand.prefill_tokens, criteria.now);
+  if (!demand.plain && first * margin > criteria.first_token_left) {
+    return Block(Hindrance::kTooSlow, best);
   }
 
-  finish += MisfitSeconds(server, demand);
+  finish += RoleMismatchSeconds(server, demand);
   const double uncached = server.pace.PrefillSeconds(demand.prefill_tokens);
-  // A probe is for finding out: whoever can bear it takes it.
+  // A probe gets the best score, so that the first request that can afford it
+  // is sent to the server.
   const double score =
       probe ? 0
             : server.spec.reluctance *
                   (weights_.goodput * finish +
-                   weights_.wasted_prefill * kUncachedCost * uncached);
+                   weights_.wasted_prefill * kUncachedCostFactor * uncached);
   if (best->hindrance == Hindrance::kNone && score >= *best_score) return;
   *best_score = score;
   *best = {Hindrance::kNone, index, demand, cached};
--- a/src/schedule/place.h
+++ b/src/schedule/place.h
@@ -1,13 +1,14 @@
-// Which server takes a request.
+// Selects the server for a request.
 //
-// Load pattern: unlike engines, some slow, some with the prompt's beginning in
-// their cache. Least outstanding alone sends a draft to an old engine that
-// can't finish it in time, and throws away cached prompts.
+// Load pattern: engines of different speeds, some of which have the prefix of
+// the prompt cached. A least-outstanding policy would send a long draft to an
+// old engine that can't finish it in time, and would not reuse cached prefixes.
 //
-// A few candidates are scored: the quickest with room, and those that hold most
-// of the prompt. The score is the predicted finish plus the prompt work that
-// is not cached, in seconds, weighed as the deployment says. A server on which
-// the request would be late is no candidate while a better one may come free.
+// A few candidates are scored: the fastest servers with free capacity, and
+// those that have most of the prompt cached. The score is the predicted finish
+// time plus the time to compute the uncached part of the prompt, in seconds,
+// with the weights of the deployment. A server on which the request would be
+// late is not selected as long as a better one may become free.
 
 #ifndef GENTIANLB_SCHEDULE_PLACE_H_
 #define GENTIANLB_SCHEDULE_PLACE_H_
@@ -23,69 +24,82 @@
 
 namespace gentianlb::schedule {
 
-// Why a request can't be granted now.
-// Of several hindrances the last in this order is reported.
+// Why a request can't be granted now. If several reasons apply, the last one in
+// this order is reported.
 enum class Hindrance {
   kNone,
   kNoRoom,    // No server has a free stream.
-  kReserved,  // There is room, kept for short or more urgent requests.
-  kTooSlow,   // It would be late on those with room.
-  kTooLarge,  // Streams are free, but no memory or prompt room for this one.
-  kNoPower,   // The share of watts is used up.
+  kReserved,  // Free streams are reserved for short or urgent requests.
+  kTooSlow,   // The request would be late on every server with capacity.
+  kTooLarge,  // Streams are free, but memory or prefill capacity is short.
+  kNoPower,   // The power share is used up.
 };
 
+// The selected server, or the reason why there is none.
 struct Placement {
   Hindrance hindrance = Hindrance::kNoRoom;
-  ServerIndex server = kNoIndex;  // Where granted; the roomiest when too large.
-  Demand demand;                  // On that server.
+  // The selected server; for kTooLarge, the one with most free memory.
+  ServerIndex server = kNoIndex;
+  Demand demand;  // On the selected server.
   double cached_tokens = 0;
 };
 
-// Room that is left free for others.
+// Capacity to keep free for more urgent or short requests.
 struct Reserves {
-  double streams = 0;  // As a part of each server's window.
-  double power = 0;    // As a part of the share above idle.
+  double streams = 0;  // Fraction of each server's window.
+  double power = 0;    // Fraction of the power share above idle.
 };
 
-// Where to look for one request.
+// Restricts the servers considered for one request.
 struct Search {
-  // Pools for which a higher tier waits.
+  // Pools for which requests of a higher tier wait; indexed by PoolIndex.
   const std::vector<bool>* closed_pools = nullptr;
-  // Servers that are kept for a large request to fit in.
+  // Servers kept free for a large request.
   const std::vector<ServerIndex>* held = nullptr;
-  // If set, only these: all others were tried and nothing changed there.
+  // If set, only these servers are considered: all others were tried before and
+  // have not changed since.
   const std::vector<ServerIndex>* only = nullptr;
-  bool contended = false;  // Others wait in the same lane.
-  // Start it even where it is in time only if its answer turns out short.
+  bool contended = false;  // Whether other requests wait in the same lane.
+  // Whether to grant a request that meets its deadline only with a short
+  // output.
   bool hopeful = false;
 };
 
+// Scores candidate servers and selects the best one for a request.
 class Placer {
  public:
   Placer(const Weights& weights, const Fleet& fleet, const PowerLedger& power,
          const PrefixCache& cache)
       : weights_(weights), fleet_(fleet), power_(power), cache_(cache) {}
 
+  // Returns the best placement of `waiting`. Changes no state.
   Placement Place(const Waiting& waiting, const Reserves& reserves,
                   const Search& search, absl::Time now);
 
  private:
-  struct Choice;
+  struct Criteria;
 
-  bool Patient(const Waiting& waiting, absl::Time now) const;
+  // Returns whether the request may still wait for a server that has its prompt
+  // cached.
+  bool MayWaitForCache(const Waiting& waiting, absl::Time now) const;
+  // Returns the maximum expected number of cached prompt tokens over the
+  // healthy servers that hold the prefix.
   double BestCached(const PrefixCache::Lookup& lookup, absl::Time now) const;
-  // Tokens of the answer by which lateness is judged.
-  double JudgedOutput(const Waiting& waiting, bool contended) const;
+  // Returns the output tokens to assume when predicting the finish time.
+  double AssumedOutputTokens(const Waiting& waiting, bool contended) const;
+  // Fills `candidates_`.
   void Collect(const Waiting& waiting, const Search& search,
                const PrefixCache::Lookup& lookup);
-  void Consider(ServerIndex server, const Choice& choice, Placement* best,
+  // Scores one candidate and updates `best` if it is better or blocked for a
+  // different reason.
+  void Consider(ServerIndex server, const Criteria& criteria, Placement* best,
                 double* best_score) const;
 
   Weights weights_;
   const Fleet& fleet_;
   const PowerLedger& power_;
   const PrefixCache& cache_;
-  std::vector<ServerIndex> candidates_;  // Kept to save allocations.
+  std::vector<ServerIndex> candidates_;  // Reused to avoid allocations.
 };
 
 }  // namespace gentianlb::schedule
