--- a/src/schedule/prefix_cache.cc
+++ b/src/schedule/prefix_cache.cc
@@ -5,31 +5,32 @@
 namespace gentianlb::schedule {
 namespace {
 
-// Depths grow by a quarter: 23 lookups for a chain of 512 blocks.
-constexpr int kMarkStep = 4;
+// Each depth is 1/4 deeper than the one before: 23 lookups for 512 blocks.
+constexpr int kDepthGrowthDivisor = 4;
 
-// Two numbers, a place in a vector and one in the order of insertion: about 64
-// bytes each, 16 MB in all, of the 128 MB that control may use on a host.
+// An entry takes about 64 bytes in the holder vector and the insertion order:
+// 16 MB in total, of the 128 MB that control may use on a host.
 constexpr std::size_t kMaxEntries = 262144;
 
-// Unknown events were lost: as if this part of the cache had been replaced.
-constexpr double kGapDoubt = 0.25;
+// Fraction of the cache that counts as replaced when events were lost.
+constexpr double kGapReplacedFraction = 0.25;
 
-// Without any news, an entry is fully doubted after this time, since other
-// dispatchers and the engine itself use the cache unseen.
-constexpr absl::Duration kFullDoubt = absl::Minutes(10);
+// Time after which an unused entry counts as evicted, because other dispatchers
+// and the engine itself also use the cache.
+constexpr absl::Duration kMaxEntryAge = absl::Minutes(10);
 
-// Each report moves the trust by a tenth; it never goes so low that a server
-// could not win it back.
-constexpr double kTrustWeight = 0.1;
-constexpr double kMinTrust = 0.1;
+// Weight of one report in the accuracy. The minimum keeps the accuracy high
+// enough to recover.
+constexpr double kAccuracyWeight = 0.1;
+constexpr double kMinAccuracy = 0.1;
 
 }  // namespace
 
 std::vector<PrefixMark> MarksOf(const std::vector<PrefixHash>& prefix) {
   std::vector<PrefixMark> marks;
   const int blocks = static_cast<int>(prefix.size());
-  for (int depth = 1; depth < blocks; depth += std::max(1, depth / kMarkStep)) {
+  for (int depth = 1; depth < blocks;
+       depth += std::max(1, depth / kDepthGrowthDivisor)) {
     marks.push_back({prefix[depth - 1], depth * kPrefixBlockTokens});
   }
   if (blocks > 0) {
@@ -47,22 +48,23 @@
                            return holder.server < key;
                          });
     if (found == level.holders->end() || found->server != server) continue;
-    const Server& known = cache_->servers_[server];
-    const double belief = cache_->Belief(known, found->touched, now);
-    if (belief > 0) return level.tokens * belief;
+    const Server& state = cache_->servers_[server];
+    const double probability =
+        cache_->CachedProbability(state, found->last_use, now);
+    if (probability > 0) return level.tokens * probability;
   }
   return 0;
 }
 
 void PrefixCache::Lookup::DeepestHolders(
     std::size_t limit, std::vector<ServerIndex>* servers) const {
-  const std::size_t most = servers->size() + limit;
+  const std::size_t max_size = servers->size() + limit;
   for (const Level& level : levels_) {
     for (const Holder& holder : *level.holders) {
-      if (servers->size() >= most) return;
-      const auto known =
+      if (servers->size() >= max_size) return;
+      const auto listed =
           std::find(servers->begin(), servers->end(), holder.server);
-      if (known == servers->end()) servers->push_back(holder.server);
+      if (listed == servers->end()) servers->push_back(holder.server);
     }
   }
 }
@@ -88,19 +90,19 @@
                           const std::vector<PrefixMark>& marks,
                           double new_tokens, absl::Time now) {
   if (servers_[server].capacity <= 0) return;
-  Age(&servers_[server], now);
-  servers_[server].odometer += new_tokens;
+  AddElapsedTime(&servers_[server], now);
+  servers_[server].inserted_tokens += new_tokens;
   for (const PrefixMark& mark : marks) Touch(server, mark.hash, now);
 }
 
 void PrefixCache::Changed(ServerIndex server, const CacheChanged& event,
                           absl::Time now) {
-  Server& known = servers_[server];
-  if (event.sequence <= known.sequence) return;  // Twice, or overtaken.
-  Age(&known, now);
-  const bool gap = known.sequence > 0 && event.sequence > known.sequence + 1;
-  if (gap) known.odometer += known.capacity * kGapDoubt;
-  known.sequence = event.sequence;
+  Server& state = servers_[server];
+  if (event.sequence <= state.sequence) return;  // Duplicate or out of order.
+  AddElapsedTime(&state, now);
+  const bool gap = state.sequence > 0 && event.sequence > state.sequence + 1;
+  if (gap) state.inserted_tokens += state.capacity * kGapReplacedFraction;
+  state.sequence = event.sequence;
   if (event.cleared) Clear(server, now);
   for (const PrefixHash hash : event.removed) Erase(server, hash);
   for (const PrefixHash hash : event.added) Touch(server, hash, now);
@@ -109,37 +111,38 @@
 void PrefixCache::Reported(ServerIndex server, double predicted,
                            double cached) {
   if (predicted < kPrefixBlockTokens) return;
-  Server& known = servers_[server];
-  // `predicted` was weighed by the trust already.
-  const double full = predicted / known.trust;
-  const double sample = std::clamp(cached / full, kMinTrust, 1.0);
-  known.trust += kTrustWeight * (sample - known.trust);
+  Server& state = servers_[server];
+  // `predicted` already includes the accuracy.
+  const double unweighted = predicted / state.accuracy;
+  const double sample = std::clamp(cached / unweighted, kMinAccuracy, 1.0);
+  state.accuracy += kAccuracyWeight * (sample - state.accuracy);
 }
 
 void PrefixCache::Clear(ServerIndex server, absl::Time now) {
-  Server& known = servers_[server];
-  Age(&known, now);
-  known.odometer += 1;
-  known.cleared = known.odometer;
+  Server& state = servers_[server];
+  AddElapsedTime(&state, now);
+  state.inserted_tokens += 1;
+  state.cleared_at = state.inserted_tokens;
 }
 
-double PrefixCache::Belief(const Server& server, double touched,
-                           absl::Time now) const {
-  if (server.capacity <= 0 || touched < server.cleared) return 0;
-  const double replaced = (server.odometer - touched) / server.capacity;
-  const double aged = absl::FDivDuration(now - server.aged, kFullDoubt);
-  return server.trust * std::clamp(1 - replaced - aged, 0.0, 1.0);
+double PrefixCache::CachedProbability(const Server& server, double last_use,
+                                      absl::Time now) const {
+  if (server.capacity <= 0 || last_use < server.cleared_at) return 0;
+  const double replaced = (server.inserted_tokens - last_use) / server.capacity;
+  const double aged = absl::FDivDuration(now - server.aged_until, kMaxEntryAge);
+  return server.accuracy * std::clamp(1 - replaced - aged, 0.0, 1.0);
 }
 
-void PrefixCache::Age(Server* server, absl::Time now) {
-  if (server->aged == absl::Time()) server->aged = now;
-  const double aged = absl::FDivDuration(now - server->aged, kFullDoubt);
-  server->odometer += server->capacity * std::min(1.0, aged);
-  server->aged = now;
+void PrefixCache::AddElapsedTime(Server* server, absl::Time now) {
+  if (server->aged_until == absl::Time()) server->aged_until = now;
+  const double aged =
+      absl::FDivDuration(now - server->aged_until, kMaxEntryAge);
+  server->inserted_tokens += server->capacity * std::min(1.0, aged);
+  server->aged_until = now;
 }
 
 void PrefixCache::Touch(ServerIndex server, PrefixHash hash, absl::Time now) {
-  const double odometer = servers_[server].odometer;
+  const double last_use = servers_[server].inserted_tokens;
   Holders& holders = holders_[hash];
   const auto place =
       std::lower_bound(holders.begin(), holders.end(), server,
@@ -147,13 +150,13 @@
                          return holder.server < key;
                        });
   if (place != holders.end() && place->server == server) {
-    place->touched = odometer;
+    place->last_use = last_use;
     return;
   }
-  holders.insert(place, {server, odometer});
-  order_.emplace_back(hash, server);
+  holders.insert(place, {server, last_use});
+  insertion_order_.emplace_back(hash, server);
   ++entries_;
-  Shrink(now);
+  EvictExcess(now);
 }
 
 void PrefixCache::Erase(ServerIndex server, PrefixHash hash) {
@@ -166,15 +169,16 @@
   if (found->second.empty()) holders_.erase(found);
 }
 
-void PrefixCache::Shrink(absl::Time now) {
-  // What is still believed goes to the back of the order once or twice; then
-  // memory goes before knowledge.
+void PrefixCache::EvictExcess(absl::Time now) {
+  // Of the first kSecondChances entries, those that are probably still cached
+  // move to the back of the order. After that, entries are erased regardless,
+  // to stay within the limit.
   constexpr int kSecondChances = 4;
-  constexpr double kWorthKeeping = 0.5;
+  constexpr double kMinProbabilityToKeep = 0.5;
   int chances = kSecondChances;
-  while (entries_ > kMaxEntries || order_.size() > 2 * kMaxEntries) {
-    const auto [hash, server] = order_.front();
-    order_.pop_front();
+  while (entries_ > kMaxEntries || insertion_order_.size() > 2 * kMaxEntries) {
+    const auto [hash, server] = insertion_order_.front();
+    insertion_order_.pop_front();
     const auto found = holders_.find(hash);
     if (found == holders_.end()) continue;
     const auto holder = std::find_if(found->second.begin(), found->second.end(),
@@ -182,9 +186,10 @@
                                        return entry.server == server;
                                      });
     if (holder == found->second.end()) continue;
-    const double belief = Belief(servers_[server], holder->touched, now);
-    if (chances-- > 0 && belief > kWorthKeeping) {
-      order_.emplace_back(hash, server);
+    const double probability =
+        CachedProbability(servers_[server], holder->last_use, now);
+    if (chances-- > 0 && probability > kMinProbabilityToKeep) {
+      insertion_order_.emplace_back(hash, server);
     } else {
       Erase(server, hash);
     }
--- a/src/schedule/prefix_cache.h
+++ b/src/schedule/prefix_cache.h
@@ -1,20 +1,22 @@
-// A picture of which prompt prefixes each engine keeps in its cache.
+// Estimates which prompt prefixes each engine holds in its prefix cache.
 //
-// Load pattern: many requests share long beginnings (a system prompt, a tender
-// file, a letter thread). Sent to an engine that has them, their prefill is
-// nearly free; sent elsewhere it costs seconds and watts. Cache events come
-// late and with gaps, so a picture from them alone is behind, and one that is
-// believed for ever sends work after blocks long evicted.
+// Load pattern: many requests share long prefixes (a system prompt, a tender
+// file, a letter thread). On an engine that has the prefix cached, prefill is
+// nearly free; elsewhere it costs seconds and power. Cache events arrive late
+// and some are lost. An estimate from events alone would lag behind, and
+// entries that never expire would send requests to engines that have evicted
+// the prefix.
 //
-// So the picture stands on events and on the dispatcher's own grants, and every
-// entry is doubted more the older it is. Age counts in tokens that went into
-// that cache since: an engine that evicts the least recently used block has
-// dropped it when about its whole cache was replaced. A gap in the events, and
-// plain time, count as tokens too. What an engine reports of cached tokens
-// tells how far its picture can be trusted.
+// The estimate is therefore based on cache events and on the dispatcher's own
+// grants, and the probability that an entry is still cached falls with its age.
+// Age is measured in tokens inserted into that cache since the last use: an
+// engine with LRU eviction has dropped a block once about its whole cache was
+// replaced. Gaps in the events and elapsed time also count as inserted tokens.
+// The cached tokens that an engine reports correct the accuracy of its entries.
 //
-// Of a chain of blocks only some depths are looked up, spaced by a quarter: a
-// few lookups in place of hundreds, and a known depth at most a fifth short.
+// Only some depths of a chain of blocks are looked up, each a quarter deeper
+// than the one before. This takes a few lookups instead of hundreds, and the
+// depth found is at most a fifth too short.
 
 #ifndef GENTIANLB_SCHEDULE_PREFIX_CACHE_H_
 #define GENTIANLB_SCHEDULE_PREFIX_CACHE_H_
@@ -31,25 +33,30 @@
 
 namespace gentianlb::schedule {
 
-// The marks of a whole chain, shallow first; the last block is always one.
+// Returns the depths of `prefix` to look up, shallowest first. The last block
+// is always included.
 std::vector<PrefixMark> MarksOf(const std::vector<PrefixHash>& prefix);
 
+// Tracks the cached prefixes of all servers.
 class PrefixCache {
  public:
-  // Who holds a prefix, and when it was put or used there last.
+  // A server that holds a prefix, and the last use of the prefix there.
   struct Holder {
     ServerIndex server = kNoIndex;
-    double touched = 0;  // On the server's own count of tokens.
+    double last_use = 0;  // In tokens inserted on that server.
   };
   using Holders = std::vector<Holder>;
 
-  // One request's chain, looked up once and then asked for many servers.
+  // The result of looking up one request's prefix, for queries about many
+  // servers.
   class Lookup {
    public:
-    // Tokens that `server` probably holds, weighed by doubt.
+    // Returns the expected number of prompt tokens cached on `server`: the
+    // deepest known prefix weighted by the probability that it is still cached.
     double CachedTokens(ServerIndex server, absl::Time now) const;
 
-    // Up to `limit` servers with the deepest prefixes.
+    // Appends up to `limit` servers that hold the deepest prefixes and are not
+    // yet in `servers`.
     void DeepestHolders(std::size_t limit,
                         std::vector<ServerIndex>* servers) const;
 
@@ -63,45 +70,56 @@
     std::vector<Level> levels_;  // Deepest first.
   };
 
+  // Sets the cache size of `server`.
   void SetServer(ServerIndex server, const ServerSpec& spec);
 
-  // Valid until the next change.
+  // Looks up a prefix. The result is valid until the next change of this
+  // object.
   Lookup Find(const std::vector<PrefixMark>& marks) const;
 
-  // A grant: the engine is about to hold these, and `new_tokens` replace what
-  // was least recently used there.
+  // Records a grant: the engine will hold the prefix `marks`, and `new_tokens`
+  // tokens replace its least recently used blocks.
   void Granted(ServerIndex server, const std::vector<PrefixMark>& marks,
                double new_tokens, absl::Time now);
 
+  // Applies a cache event. Ignores duplicate and outdated events.
   void Changed(ServerIndex server, const CacheChanged& event, absl::Time now);
 
-  // The engine's own word on one request.
+  // Corrects the accuracy of a server's entries by one request: the predicted
+  // number of cached tokens and the number that the engine reports.
   void Reported(ServerIndex server, double predicted, double cached);
 
-  // The engine lost its cache, as after a restart.
+  // Drops all entries of a server, for example after a restart.
   void Clear(ServerIndex server, absl::Time now);
 
   std::size_t entries() const { return entries_; }
 
  private:
   struct Server {
-    double capacity = 0;  // Tokens.
-    double odometer = 0;  // Tokens that went in.
-    double cleared = 0;   // What was touched before this is gone.
-    double trust = 1;
-    std::uint64_t sequence = 0;
-    absl::Time aged;  // Until when time was counted.
+    double capacity = 0;         // Tokens.
+    double inserted_tokens = 0;  // Total; the clock that entries age by.
+    double cleared_at = 0;  // Entries with an earlier last use are invalid.
+    double accuracy = 1;    // Cached tokens reported over predicted.
+    std::uint64_t sequence = 0;  // Of the last cache event.
+    absl::Time aged_until;       // Time already added to inserted_tokens.
   };
 
-  double Belief(const Server& server, double touched, absl::Time now) const;
-  void Age(Server* server, absl::Time now);
+  // Returns the estimated probability that a block last used at `last_use` is
+  // still cached.
+  double CachedProbability(const Server& server, double last_use,
+                           absl::Time now) const;
+  // Adds the time since the last call to the server's inserted tokens.
+  void AddElapsedTime(Server* server, absl::Time now);
+  // Adds an entry, or updates its last use.
   void Touch(ServerIndex server, PrefixHash hash, absl::Time now);
   void Erase(ServerIndex server, PrefixHash hash);
-  void Shrink(absl::Time now);
+  // Removes the oldest entries above the memory limit.
+  void EvictExcess(absl::Time now);
 
   std::vector<Server> servers_;
   absl::flat_hash_map<PrefixHash, Holders> holders_;
-  std::deque<std::pair<PrefixHash, ServerIndex>> order_;  // Of insertion.
+  // Entries in insertion order, oldest first.
+  std::deque<std::pair<PrefixHash, ServerIndex>> insertion_order_;
   std::size_t entries_ = 0;
 };
 
