--- a/src/schedule/running.cc
+++ b/src/schedule/running.cc
@@ -7,9 +7,9 @@
 
 RunningTable::VictimKey RunningTable::KeyOf(const Running& running,
                                             RunIndex index) {
-  const int thrown =
+  const int wasted =
       running.first_token ? static_cast<int>(running.demand.prefill_tokens) : 0;
-  return {-running.origin.request.tier.rank, thrown, index};
+  return {-running.origin.request.tier.rank, wasted, index};
 }
 
 RunIndex RunningTable::Add(Running running) {
@@ -17,7 +17,7 @@
   const RunIndex index = running_.Add(std::move(running));
   const Running& added = running_[index];
   by_id_.emplace(id, index);
-  // A begun call of a plain service can't be stopped.
+  // A call of a plain service can't be cancelled once it runs.
   if (!added.demand.plain) {
     victims_.insert(KeyOf(added, index));
     deadlines_.insert({added.origin.request.deadline, index});
@@ -27,11 +27,11 @@
 }
 
 Running RunningTable::Remove(RunIndex index) {
-  const Running& leaving = running_[index];
-  by_id_.erase(leaving.origin.request.id);
-  victims_.erase(KeyOf(leaving, index));
-  deadlines_.erase({leaving.origin.request.deadline, index});
-  overdue_.erase({leaving.overdue, index});
+  const Running& removed = running_[index];
+  by_id_.erase(removed.origin.request.id);
+  victims_.erase(KeyOf(removed, index));
+  deadlines_.erase({removed.origin.request.deadline, index});
+  overdue_.erase({removed.overdue, index});
   return running_.Remove(index);
 }
 
@@ -94,12 +94,12 @@
 }
 
 double ComputedPrefill(const Running& running, absl::Time now) {
-  const double all = running.demand.prefill_tokens;
-  if (running.first_token) return all;
-  // In the middle of the prompt: in proportion to the time it takes.
+  const double prefill = running.demand.prefill_tokens;
+  if (running.first_token) return prefill;
+  // Before the first token, assumes progress in proportion to elapsed time.
   const double elapsed = absl::ToDoubleSeconds(now - running.granted);
   const double predicted = std::max(0.001, running.predicted_first);
-  return all * std::clamp(elapsed / predicted, 0.0, 1.0);
+  return prefill * std::clamp(elapsed / predicted, 0.0, 1.0);
 }
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/running.h
+++ b/src/schedule/running.h
@@ -1,6 +1,6 @@
-// What was granted and has not ended: the in-doubt part of the dispatcher's
-// picture. Ordered so that whoever is to be cancelled, or is late, is found
-// without a search.
+// The requests that were granted and are not known to be complete. Ordered
+// indexes find the next request to cancel, the next deadline and the next
+// overdue first token without a scan.
 
 #ifndef GENTIANLB_SCHEDULE_RUNNING_H_
 #define GENTIANLB_SCHEDULE_RUNNING_H_
@@ -20,29 +20,34 @@
 
 namespace gentianlb::schedule {
 
+// A request that was granted and is not known to be complete.
 struct Running {
-  Waiting origin;  // As it waited; its marks serve a second try.
+  Waiting origin;  // The queue entry; a retry queues it again.
   ServerIndex server = kNoIndex;
   Demand demand;
   double cached_tokens = 0;  // As predicted.
   FirstTokenTime expected_first;
-  FirstTokenTime expected_uncached;  // The same if nothing is cached.
-  double predicted_first = 0;        // Seconds, as learnt, nothing cached.
+  FirstTokenTime expected_uncached;  // If nothing is cached.
+  // Predicted seconds to the first token if nothing is cached; of the whole
+  // call for a plain service.
+  double predicted_first = 0;
   absl::Time granted;
   bool first_token = false;
   int output_tokens = 0;
-  absl::Time reported;      // When output_tokens was.
-  absl::Time overdue;       // Silent beyond this: slow.
-  bool taken_over = false;  // Granted by another dispatcher.
-  std::optional<WasteCause> cancelled;
+  absl::Time reported;  // When output_tokens was last updated.
+  absl::Time overdue;   // When a missing first token becomes overdue.
+  // Granted earlier by another dispatcher; the time of the grant is unknown.
+  bool taken_over = false;
+  std::optional<WasteCause> cancelled;  // Set while being cancelled.
 };
 
+// Finds running requests by id, deadline, cancellation order and overdue time.
 class RunningTable {
  public:
   RunIndex Add(Running running);
   Running Remove(RunIndex index);
 
-  // kNoIndex when unknown.
+  // Returns kNoIndex if unknown.
   RunIndex Find(const RequestId& id) const;
   const Running& Get(RunIndex index) const { return running_[index]; }
   std::size_t size() const { return running_.size(); }
@@ -51,44 +56,50 @@
   void SetStreamed(RunIndex index, int tokens, absl::Time now);
   void SetDemand(RunIndex index, const Demand& demand);
   void SetOverdue(RunIndex index, absl::Time overdue);
-  // Its deadline no longer matters: it is late and runs on.
+  // Removes a request from the deadline order: it is late and may complete.
   void LetRun(RunIndex index);
-  // It no longer is a candidate for anything, but still counts as running.
+  // Marks a request as being cancelled. It leaves all orders but still counts
+  // as running until Remove().
   void SetCancelled(RunIndex index, WasteCause cause);
 
-  // The first overdue for its first token; kNoIndex when none is by `now`.
+  // Returns the request whose first token is overdue longest; kNoIndex if none
+  // is overdue at `now`.
   RunIndex Overdue(absl::Time now) const;
   absl::Time NextOverdue() const;
 
-  // Who is cancelled first: of the lowest tier, the one with the least prompt
-  // work done. Ranks above `above` only, and only what `accept` takes, looking
-  // at no more than `limit`.
+  // Returns the request to cancel first: lowest tier, then least prompt work
+  // done. Considers at most `limit` requests with a rank greater than `above`
+  // and returns the first that `accept` takes, or kNoIndex.
   template <typename Accept>
   RunIndex FirstVictim(int above, int limit, Accept accept) const {
-    for (const auto& [rank, thrown, index] : victims_) {
-      if (-rank <= above || limit-- == 0) break;
+    for (const auto& [negated_rank, wasted, index] : victims_) {
+      if (-negated_rank <= above || limit-- == 0) break;
       if (accept(running_[index])) return index;
     }
     return kNoIndex;
   }
 
-  // The one with the earliest deadline; kNoIndex when there is none.
+  // Returns the request with the earliest deadline, or kNoIndex if there is
+  // none.
   RunIndex EarliestDeadline() const;
 
  private:
-  // The deadline orders are small: cancelled and plain calls are left out.
+  // Negated tier rank, prompt tokens that a cancellation would waste, request.
   using VictimKey = std::tuple<int, int, RunIndex>;
 
   static VictimKey KeyOf(const Running& running, RunIndex index);
 
   Slab<Running> running_;
   absl::flat_hash_map<RequestId, RunIndex> by_id_;
-  absl::btree_set<VictimKey> victims_;  // Minus rank, prompt work done.
+  // Requests that may be cancelled, in the order of cancellation. Calls of
+  // plain services and requests being cancelled are left out, here and in
+  // `deadlines_`.
+  absl::btree_set<VictimKey> victims_;
   absl::btree_set<std::pair<absl::Time, RunIndex>> deadlines_;
   absl::btree_set<std::pair<absl::Time, RunIndex>> overdue_;
 };
 
-// Prompt tokens that cancelling `running` now would throw away.
+// Returns the prompt tokens that cancelling `running` now would waste.
 double ComputedPrefill(const Running& running, absl::Time now);
 
 }  // namespace gentianlb::schedule
