--- a/src/schedule/server.cc
+++ b/src/schedule/server.cc
@@ -5,25 +5,27 @@
 namespace gentianlb::schedule {
 namespace {
 
-// Prompt work let into an engine at once. Half of the wanted 1.1 s to the first
-// token, and long against the milliseconds until the next grant arrives, so
-// that the engine never runs dry.
-constexpr double kPrefillSeconds = 0.5;
-
-// A report on others' streams is believed for this long; reports come every
-// second or so, and a missing one must not close a server for ever.
-constexpr absl::Duration kReportLife = absl::Seconds(10);
-
-// A report can't count what it was too early to see. The own peak of the last
-// one to two periods is at least what ran when it was measured.
+// Prompt work admitted to an engine at once. About half of the target of 1.1 s
+// to the first token, and much longer than the few milliseconds until the next
+// grant arrives, so the engine does not become idle.
+constexpr double kMaxPrefillSeconds = 0.5;
+
+// Maximum age of the known number of other dispatchers' streams. Updates come
+// about every second; when they stop, the server must not stay closed forever.
+constexpr absl::Duration kMaxReportAge = absl::Seconds(10);
+
+// Own streams are subtracted from a load report to get those of other
+// dispatchers. The report is older than the current number of own streams, so
+// the peak over the last one to two periods is subtracted: it is at least the
+// number at the time of measurement.
 constexpr absl::Duration kPeakPeriod = absl::Seconds(5);
 
-// Where many dispatchers hear of each other some tenths of a second late, a
-// server that seems to have four free streams gets four requests from each. So
-// each takes it that the others do as it does, for about as long as news take
-// from 90 hosts. Without it 30 to 60 streams were begun at once on servers of
-// ten, and those waited a second and more for their first token.
-constexpr absl::Duration kUnheard = absl::Milliseconds(300);
+// Delay until other dispatchers' grants are known, with 90 hosts. During it,
+// each of many dispatchers would grant requests for the same free streams. So
+// each assumes that the others grant as many as it does. Without this, 30 to 60
+// streams started at once on servers with 10 streams, and those requests waited
+// more than a second for their first token.
+constexpr absl::Duration kPeerUpdateDelay = absl::Milliseconds(300);
 
 }  // namespace
 
@@ -31,10 +33,11 @@
     : spec(server),
       pace(server),
       window(server.max_streams),
-      recent_(kUnheard) {}
+      recent_grants_(kPeerUpdateDelay) {}
 
 void Server::Configure(const ServerSpec& changed) {
-  // Learnt speeds hold for the hardware; other speeds mean other hardware.
+  // Learnt speeds belong to the hardware. Changed configured speeds mean
+  // changed hardware.
   const bool same_speed =
       spec.prefill_tokens_per_second == changed.prefill_tokens_per_second &&
       spec.decode_tokens_per_second == changed.decode_tokens_per_second &&
@@ -47,12 +50,12 @@
 
 void Server::Begin(const Demand& demand, absl::Time now) {
   ++running_;
-  recent_.Add(1, now);
+  recent_grants_.Add(1, now);
   window.Granted();
   kv_tokens_ += demand.kv_tokens;
   if (prefilling_++ == 0) prefill_since_ = now;
   prefill_tokens_ += demand.prefill_tokens;
-  CountPeak(now);
+  UpdatePeak(now);
 }
 
 void Server::FirstToken(const Demand& demand, absl::Time now) {
@@ -64,41 +67,42 @@
 
 void Server::End(const Demand& demand, bool first_token, absl::Time now) {
   if (!first_token) FirstToken(demand, now);
-  CountPeak(now);
+  UpdatePeak(now);
   running_ = std::max(0, running_ - 1);
   kv_tokens_ = std::max<std::int64_t>(0, kv_tokens_ - demand.kv_tokens);
 }
 
 void Server::CountEnd(bool failed) {
-  // Some ten requests tell a server that fails two in five from a good one.
+  // About 10 requests are enough to detect a server that fails 2 of 5.
   constexpr double kWeight = 0.1;
   failure_rate_ += kWeight * ((failed ? 1 : 0) - failure_rate_);
 }
 
-double Server::WithFailures(double seconds) const {
-  // A failure costs the time until it shows, a second sending, and for what may
-  // not be repeated the whole answer.
-  constexpr double kFailureCost = 5;
-  return seconds * (1 + kFailureCost * failure_rate_);
+double Server::WithFailureCost(double seconds) const {
+  // Cost of a failure relative to the duration of the request: the time until
+  // it is detected, a retry, and the whole response if the request must not be
+  // retried.
+  constexpr double kFailureCostFactor = 5;
+  return seconds * (1 + kFailureCostFactor * failure_rate_);
 }
 
 void Server::Report(const LoadReported& report, absl::Time now) {
-  if (report.measured < foreign_measured_) return;  // Overtaken on the way.
-  CountPeak(now);
-  foreign_measured_ = report.measured;
-  foreign_streams_ = std::max(0, report.running + report.queued - OwnPeak());
+  if (report.measured < peer_streams_measured_) return;  // Out of order.
+  UpdatePeak(now);
+  peer_streams_measured_ = report.measured;
+  peer_streams_ = std::max(0, report.running + report.queued - OwnPeak());
 }
 
-void Server::Answered(const LoadAnswered& answer, absl::Time now) {
-  foreign_measured_ = now;
-  foreign_streams_ = std::max(0, answer.running + answer.queued - running_);
-  batch_mates_ = std::max(0, answer.running - running_);
+void Server::Answered(const LoadAnswered& load, absl::Time now) {
+  peer_streams_measured_ = now;
+  peer_streams_ = std::max(0, load.running + load.queued - running_);
+  peer_batch_streams_ = std::max(0, load.running - running_);
 }
 
 void Server::Elsewhere(const LoadElsewhere& load, absl::Time now) {
-  foreign_measured_ = now;
-  foreign_streams_ = load.running;
-  batch_mates_ = load.running;
+  peer_streams_measured_ = now;
+  peer_streams_ = load.running;
+  peer_batch_streams_ = load.running;
 }
 
 bool Server::Open(absl::Time now) const {
@@ -108,24 +112,24 @@
 
 int Server::FreeStreams(absl::Time now) const {
   const int bound = std::min(window.streams(), spec.max_streams);
-  return bound - running_ - ForeignStreams(now) - UnheardStreams(now);
+  return bound - running_ - ForeignStreams(now) - UnreportedStreams(now);
 }
 
-int Server::UnheardStreams(absl::Time now) const {
+int Server::UnreportedStreams(absl::Time now) const {
   if (spec.alike <= 0) return 0;
-  return static_cast<int>(spec.alike * recent_.At(now));
+  return static_cast<int>(spec.alike * recent_grants_.At(now));
 }
 
 bool Server::PrefillFits(double prefill_tokens) const {
-  // One prompt is always let in, however long it is.
+  // One prompt is always admitted, regardless of its length.
   if (prefill_tokens_ <= 0) return true;
   return prefill_tokens_ + prefill_tokens <=
-         kPrefillSeconds * pace.prefill_speed();
+         kMaxPrefillSeconds * pace.prefill_speed();
 }
 
 bool Server::MemoryFits(std::int64_t kv_tokens) const {
-  // Whatever is too large for the whole memory goes to an empty server, where
-  // the engine itself decides.
+  // A request larger than the whole memory goes to an empty server, where the
+  // engine decides whether to run it.
   if (spec.kv_tokens <= 0 || running_ == 0) return true;
   return kv_tokens_ + kv_tokens <= spec.kv_tokens;
 }
@@ -139,14 +143,15 @@
 
 double Server::FirstTokenSeconds(double prefill_tokens, absl::Time now) const {
   return pace.FirstTokenSeconds(PrefillBacklog(now) + prefill_tokens,
-                                running_ + batch_mates_ + 1);
+                                running_ + peer_batch_streams_ + 1);
 }
 
 double Server::FinishSeconds(const Demand& demand, absl::Time now) const {
-  if (demand.plain) return WithFailures(pace.CallSeconds());
-  return WithFailures(FirstTokenSeconds(demand.prefill_tokens, now) +
-                      demand.output_tokens *
-                          pace.TokenSeconds(running_ + batch_mates_ + 1));
+  if (demand.plain) return WithFailureCost(pace.CallSeconds());
+  return WithFailureCost(
+      FirstTokenSeconds(demand.prefill_tokens, now) +
+      demand.output_tokens *
+          pace.TokenSeconds(running_ + peer_batch_streams_ + 1));
 }
 
 FirstTokenTime Server::ExpectedFirstToken(double prefill_tokens,
@@ -156,12 +161,12 @@
 }
 
 int Server::ForeignStreams(absl::Time now) const {
-  return now - foreign_measured_ < kReportLife ? foreign_streams_ : 0;
+  return now - peer_streams_measured_ < kMaxReportAge ? peer_streams_ : 0;
 }
 
 int Server::OwnPeak() const { return std::max(own_peaks_[0], own_peaks_[1]); }
 
-void Server::CountPeak(absl::Time now) {
+void Server::UpdatePeak(absl::Time now) {
   if (now - peak_since_ >= kPeakPeriod) {
     own_peaks_[1] = own_peaks_[0];
     own_peaks_[0] = running_;
--- a/src/schedule/server.h
+++ b/src/schedule/server.h
@@ -1,10 +1,12 @@
-// What the dispatcher knows of one backend server: its configuration, what was
-// granted to it and not yet ended, and what its answers showed.
+// State of one backend server in the dispatcher: its configuration, the
+// requests granted to it and not yet complete, and what is learnt from its
+// responses.
 //
-// Prefill and decode are counted apart: prompts are computed one after the
-// other and hold back every first token behind them, so only about half a
-// second of prompt work is let in at once and the rest waits here, in order;
-// streams share a step and are bounded by the window and by memory.
+// Prefill and decode are counted separately. Prompts are computed one after the
+// other, and each delays the first tokens of those behind it, so only about
+// half a second of prompt work is admitted at once and the rest waits in the
+// dispatcher's queue. Decoding streams share a batch step and are limited by
+// the window and by memory.
 
 #ifndef GENTIANLB_SCHEDULE_SERVER_H_
 #define GENTIANLB_SCHEDULE_SERVER_H_
@@ -22,51 +24,67 @@
 
 namespace gentianlb::schedule {
 
-// What one request asks of a server.
+// Resources that one request needs on a server.
 struct Demand {
-  double prefill_tokens = 0;  // Not cached there.
-  double output_tokens = 0;   // Expected.
-  std::int64_t kv_tokens = 0;
-  bool plain = false;  // A call of a plain service.
+  double prefill_tokens = 0;   // Prompt tokens not cached on the server.
+  double output_tokens = 0;    // Expected.
+  std::int64_t kv_tokens = 0;  // KV-cache memory to reserve, in tokens.
+  bool plain = false;          // A call of a plain service.
 };
 
+// Tracks the load of a server and predicts times of requests on it.
 class Server {
  public:
   explicit Server(const ServerSpec& spec);
 
+  // Replaces the configuration. Keeps the learnt speeds if the configured
+  // speeds are unchanged.
   void Configure(const ServerSpec& spec);
 
-  // --- What goes on ---
+  // --- Events ---
+  // Adds a granted request.
   void Begin(const Demand& demand, absl::Time now);
+  // Records that the prompt of a request is computed.
   void FirstToken(const Demand& demand, absl::Time now);
-  // The reservation of a running stream grew.
+  // Increases the memory reserved for running streams.
   void AddMemory(std::int64_t kv_tokens) { kv_tokens_ += kv_tokens; }
+  // Removes a request. `first_token`: whether FirstToken() was called for it.
   void End(const Demand& demand, bool first_token, absl::Time now);
-  // Whether one more request failed there, or came to a good end.
+  // Updates the failure rate by one completed request.
   void CountEnd(bool failed);
+  // Updates the streams of other dispatchers from the server's load report.
   void Report(const LoadReported& report, absl::Time now);
-  void Answered(const LoadAnswered& answer, absl::Time now);
+  // Updates them from the load sent with a response of the server.
+  void Answered(const LoadAnswered& load, absl::Time now);
+  // Updates them from what the other dispatchers publish.
   void Elsewhere(const LoadElsewhere& load, absl::Time now);
 
-  // --- Whether there is room ---
-  // For any request at all.
+  // --- Free capacity ---
+  // Returns whether the server can take any request now.
   bool Open(absl::Time now) const;
-  // Streams that may still begin.
+  // Returns the number of streams that may still be granted; may be negative.
   int FreeStreams(absl::Time now) const;
+  // Returns whether the prompt work fits within the admission limit.
   bool PrefillFits(double prefill_tokens) const;
+  // Returns whether the memory reservation fits.
   bool MemoryFits(std::int64_t kv_tokens) const;
   std::int64_t FreeMemory() const { return spec.kv_tokens - kv_tokens_; }
 
-  // --- How long it would take ---
+  // --- Predicted times ---
+  // Returns the predicted seconds to the first token of a request granted now.
   double FirstTokenSeconds(double prefill_tokens, absl::Time now) const;
+  // Returns the predicted seconds to the completion of a request granted now,
+  // including the expected cost of failures.
   double FinishSeconds(const Demand& demand, absl::Time now) const;
-  // The configuration's expectation, to measure the answer by.
+  // Returns the expected time from the configured speeds, with which the
+  // measured time is compared.
   FirstTokenTime ExpectedFirstToken(double prefill_tokens,
                                     absl::Time now) const;
 
   int running() const { return running_; }
-  // What others have there, as far as it is known.
+  // Returns the number of streams of other dispatchers, 0 if not known.
   int ForeignStreams(absl::Time now) const;
+  // Returns the number of streams without a first token.
   int prefilling() const { return prefilling_; }
 
   ServerSpec spec;
@@ -77,29 +95,32 @@
   Window window;
 
  private:
+  // Returns the granted prompt tokens that are not computed yet.
   double PrefillBacklog(absl::Time now) const;
+  // Returns the maximum of running_ over the last one to two periods.
   int OwnPeak() const;
-  // Streams of others that are begun and not heard of, as far as they do alike.
-  int UnheardStreams(absl::Time now) const;
-  void CountPeak(absl::Time now);
+  // Returns an estimate of the streams that other dispatchers have granted but
+  // not yet reported, assuming that they make the same choices.
+  int UnreportedStreams(absl::Time now) const;
+  void UpdatePeak(absl::Time now);
 
-  // Time that failures cost: `seconds` stretched by how often they come.
-  double WithFailures(double seconds) const;
+  // Returns `seconds` plus the expected cost of failures.
+  double WithFailureCost(double seconds) const;
 
-  double failure_rate_ = 0;  // Of the last ten or so.
+  double failure_rate_ = 0;  // Moving average over about 10 requests.
   int running_ = 0;
   int prefilling_ = 0;
-  double prefill_tokens_ = 0;   // Granted, first token not seen.
-  absl::Time prefill_since_;    // Since when the first of them is computed.
-  std::int64_t kv_tokens_ = 0;  // Reserved for what runs.
-  int foreign_streams_ = 0;     // Others', by the last report or answer.
-  // Others' streams slow a batch as own ones do; counted there only as answers
-  // tell them, since a report is too old for it.
-  int batch_mates_ = 0;
-  absl::Time foreign_measured_;
-  DecayingSum recent_;              // Own requests of late.
-  std::array<int, 2> own_peaks_{};  // Of this period and the one before.
-  absl::Time peak_since_;
+  double prefill_tokens_ = 0;   // Of the streams without a first token.
+  absl::Time prefill_since_;    // When the current prompt was started.
+  std::int64_t kv_tokens_ = 0;  // Reserved for running streams.
+  int peer_streams_ = 0;        // Streams of other dispatchers, last known.
+  // Streams of other dispatchers that slow down the batch. Not updated by load
+  // reports, which are too old for it.
+  int peer_batch_streams_ = 0;
+  absl::Time peer_streams_measured_;
+  DecayingSum recent_grants_;       // Own grants, decaying with time.
+  std::array<int, 2> own_peaks_{};  // Of the current and the previous period.
+  absl::Time peak_since_;           // Start of the current period.
 };
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/window.h
+++ b/src/schedule/window.h
@@ -1,13 +1,14 @@
-// How many streams a server may hold at once, learnt from its answers.
+// Limits the number of concurrent streams of a server by its responses.
 //
-// Load pattern: engines admit all that comes and know no priorities, so what
-// waits must wait here, where it can be ordered; and a straggler must not go on
-// filling up. Without it a slow server collects a queue of its own, in which
-// urgent work waits behind overnight work, until callers time out.
+// Load pattern: engines admit every request and have no priorities, so requests
+// must wait in the dispatcher's queue, where they are ordered, and a straggler
+// must not get more work. Without this limit, a slow server builds up its own
+// queue, in which urgent requests wait behind batch requests until callers time
+// out.
 //
-// The window opens at the configured bound, halves on slow answers or on
-// silence, and grows again while answers are good. At the bottom it is open
-// for one stream at a time, at intervals that double: a probe.
+// The window starts at the configured maximum, is halved on slow responses or
+// overdue first tokens, and grows while responses are in time. At its minimum,
+// the server gets single streams as probes, with exponential backoff.
 
 #ifndef GENTIANLB_SCHEDULE_WINDOW_H_
 #define GENTIANLB_SCHEDULE_WINDOW_H_
@@ -16,52 +17,56 @@
 
 namespace gentianlb::schedule {
 
+// A concurrency window with multiplicative decrease and increase, and probing.
 class Window {
  public:
   explicit Window(int max_streams);
 
-  // A changed configuration; what was learnt below the new bound stays.
+  // Sets the maximum. A window that was reduced before stays reduced.
   void SetBound(int max_streams);
 
+  // Returns the maximum number of streams.
   int streams() const { return static_cast<int>(size_); }
 
-  // An answer came as it should; `full` when the window was what held it back.
+  // Records a response in time. `full`: whether all streams of the window were
+  // in use; only then the window grows.
   void Good(absl::Time now, bool full);
 
-  // An answer was slow, or its first token is long overdue. True when the
-  // window was cut.
+  // Records a slow response or an overdue first token. Returns whether the
+  // window was reduced.
   bool Slow(absl::Time now);
 
-  // No connection came about.
+  // Records that no connection could be established. Closes the window.
   void Unreachable(absl::Time now);
 
-  // A request failed there. One alone says little: some calls fail on any
-  // server. Several in a row, with no good answer in between, count as
-  // unreachable.
+  // Records a failed request. Some calls fail on any server, so only several
+  // failures in a row, or a failed probe, close the window.
   void Failed(absl::Time now);
 
-  // New work went there; if it is slow again, the next probe is later.
-  void Granted() { tried_ = true; }
+  // Records that a request was granted. Only then a further slow response
+  // doubles the backoff.
+  void Granted() { granted_since_close_ = true; }
 
-  // Whether new work may go there, as far as failures tell.
+  // Returns whether the window is not closed at `now`.
   bool OpenAt(absl::Time now) const { return now >= closed_until_; }
   absl::Time closed_until() const { return closed_until_; }
 
-  // At the bottom: what goes there now is a probe.
+  // Returns whether the next request is a probe.
   bool probing() const { return probing_; }
 
  private:
+  // Closes the window for the backoff time.
   void Close(absl::Time now);
 
-  int bound_;
-  double size_;
+  int max_streams_;
+  double size_;  // Streams; fractional while it grows.
   bool probing_ = false;
-  bool tried_ = true;  // Since it was closed last.
-  int failures_ = 0;   // In a row.
+  bool granted_since_close_ = true;
+  int failures_ = 0;  // In a row.
   absl::Duration backoff_;
   absl::Time closed_until_ = absl::InfinitePast();
-  absl::Time last_cut_ = absl::InfinitePast();
-  absl::Time last_growth_ = absl::InfinitePast();
+  absl::Time last_decrease_ = absl::InfinitePast();
+  absl::Time last_increase_ = absl::InfinitePast();
 };
 
 }  // namespace gentianlb::schedule
