--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -1,4 +1,4 @@
-// The smaller decision modules one by one.
+// Unit tests of the decision modules below the dispatcher.
 
 #include <boost/test/unit_test.hpp>
 #include <set>
@@ -21,11 +21,12 @@
   return absl::UnixEpoch() + absl::Seconds(seconds);
 }
 
-// --- Estimates ---------------------------------------------------------------
+// --- Output estimates
+// ---------------------------------------------------------------
 
-// One workspace sends drafts and tags. With one estimate for both, each tag
-// would reserve the memory of a draft.
-BOOST_AUTO_TEST_CASE(LengthsAreLearntByKindOfRequest) {
+// One workspace sends long drafts and short tags. With one estimate for both,
+// each tag would reserve as much memory as a draft.
+BOOST_AUTO_TEST_CASE(OutputLengthsAreLearntPerOutputLimit) {
   OutputEstimator estimator;
   Request draft;
   draft.max_output_tokens = 4000;
@@ -51,9 +52,9 @@
   BOOST_TEST(Corrected(estimate, 400, 450).median == 450);
 }
 
-// --- Window and pace ---------------------------------------------------------
+// --- Window and speed --------------------------------------------------------
 
-BOOST_AUTO_TEST_CASE(WindowShrinksWithinSecondsAndGrowsBack) {
+BOOST_AUTO_TEST_CASE(WindowShrinksWithinSecondsAndRecovers) {
   Window window(32);
   for (double t = 0; t < 4; t += 0.1) window.Slow(At(t));
   BOOST_TEST(window.streams() == 1);
@@ -64,39 +65,39 @@
   BOOST_TEST(window.OpenAt(At(16)));
 }
 
-BOOST_AUTO_TEST_CASE(ProbesBecomeRarerWhileTheyFail) {
+BOOST_AUTO_TEST_CASE(FailedProbesIncreaseTheBackoff) {
   Window window(1);
-  absl::Duration last;
+  absl::Duration last_backoff;
   absl::Time now = At(0);
   for (int i = 0; i < 5; ++i) {
     window.Granted();
     window.Slow(now);
-    const absl::Duration pause = window.closed_until() - now;
-    BOOST_TEST((pause > last));
-    last = pause;
+    const absl::Duration backoff = window.closed_until() - now;
+    BOOST_TEST((backoff > last_backoff));
+    last_backoff = backoff;
     now = window.closed_until();
   }
-  BOOST_TEST((last <= absl::Seconds(30)));
+  BOOST_TEST((last_backoff <= absl::Seconds(30)));
 }
 
-BOOST_AUTO_TEST_CASE(PaceFollowsAndForgets) {
+BOOST_AUTO_TEST_CASE(SpeedFollowsSamplesAndDecaysWithoutThem) {
   ServerSpec spec;
   spec.decode_tokens_per_second = 50;
-  Pace pace(spec);
-  for (int i = 0; i < 10; ++i) pace.AddTokens(0.2, 1);
-  BOOST_TEST(pace.straggling());
-  BOOST_TEST(pace.TokenSeconds(1) > 0.18);
-  for (int i = 0; i < 10; ++i) pace.Forget();
-  BOOST_TEST(!pace.straggling());
+  Pace speed(spec);
+  for (int i = 0; i < 10; ++i) speed.AddTokens(0.2, 1);
+  BOOST_TEST(speed.straggling());
+  BOOST_TEST(speed.TokenSeconds(1) > 0.18);
+  for (int i = 0; i < 10; ++i) speed.Forget();
+  BOOST_TEST(!speed.straggling());
 }
 
 // --- Server ------------------------------------------------------------------
 
-// Several hosts hear at the same moment that a server has four free streams,
-// and each has four requests waiting. Were all sent, twelve callers of sixteen
-// would wait for a slot behind the others; so a host sends one or two, and the
-// rest when it has heard what the others did.
-BOOST_AUTO_TEST_CASE(WhatOthersDoAlikeTakesRoomUntilItIsHeardOf) {
+// Several hosts learn at the same time that a server has four free streams, and
+// each has four requests waiting. If all were sent, 12 of 16 callers would wait
+// for a slot. So each host sends one or two, and the rest after it has received
+// the load of the others.
+BOOST_AUTO_TEST_CASE(UnreportedPeerGrantsReduceFreeStreams) {
   ServerSpec spec;
   spec.max_streams = 10;
   spec.alike = 2;
@@ -114,7 +115,7 @@
 
 // --- Power -------------------------------------------------------------------
 
-BOOST_AUTO_TEST_CASE(WorstCaseCountsPrefillOnceAndDoubtAsRunning) {
+BOOST_AUTO_TEST_CASE(WorstCaseCountsPrefillOnceAndCancelledAsRunning) {
   ServerSpec spec;
   spec.prefill_tokens_per_second = 1000;
   spec.power = {.idle_watts = 100,
@@ -127,14 +128,14 @@
   ledger.Begin(0, true);
   BOOST_TEST(ledger.watts() == 210);
   BOOST_TEST(ledger.Fits(0, 0));
-  ledger.Begin(0, true);  // The prompts are computed one after the other.
+  ledger.Begin(0, true);  // Prompts are computed one after the other.
   BOOST_TEST(ledger.watts() == 220);
   BOOST_TEST(!ledger.Fits(0, 0));
   ledger.SetShare(215);
   BOOST_TEST(ledger.MustCancel());
   ledger.Cancelling(0, true);
   BOOST_TEST(!ledger.MustCancel());
-  BOOST_TEST(ledger.watts() == 220);  // It may still be running.
+  BOOST_TEST(ledger.watts() == 220);  // The request may still be running.
   BOOST_TEST(!ledger.Fits(0, 0));
   ledger.End(0, true, true);
   ledger.FirstToken(0, false);
@@ -143,34 +144,36 @@
   BOOST_TEST(ledger.watts() == 100);
 }
 
-// Short questions wait 100 ms for a slot of a busy engine. If that counts as
-// the pace of prompts, a long letter is foretold half a second, and its user is
-// refused although the engine would have begun it in time.
-BOOST_AUTO_TEST_CASE(WaitOfShortPromptsForetellsNothingOfLongOnes) {
+// Short prompts wait 100 ms for a slot of a busy engine. If that wait counted
+// as slow prefill, the prediction for a long prompt would rise to half a
+// second, and it would be refused although the engine could have started it in
+// time.
+BOOST_AUTO_TEST_CASE(QueueingOfShortPromptsDoesNotSlowLongPrompts) {
   ServerSpec spec;
   spec.prefill_tokens_per_second = 100000;
   spec.decode_tokens_per_second = 200;
   spec.speeds_guessed = true;
-  Pace pace(spec);
+  Pace speed(spec);
   for (int i = 0; i < 50; ++i) {
-    pace.AddFirstToken(0.115, pace.ExpectedFirstToken(600, 1));
+    speed.AddFirstToken(0.115, speed.ExpectedFirstToken(600, 1));
   }
-  BOOST_TEST(pace.FirstTokenSeconds(600, 1) > 0.1);
-  BOOST_TEST(pace.FirstTokenSeconds(20000, 1) < 0.4);
+  BOOST_TEST(speed.FirstTokenSeconds(600, 1) > 0.1);
+  BOOST_TEST(speed.FirstTokenSeconds(20000, 1) < 0.4);
 }
 
-// The same engine computes prompts at a third of its speed. Long ones show it.
-BOOST_AUTO_TEST_CASE(LongPromptsShowThePaceOfPrompts) {
+// The engine computes prompts at a third of the estimated speed. Samples of
+// long prompts change the prefill speed and not the overhead.
+BOOST_AUTO_TEST_CASE(LongPromptsDetermineThePrefillSpeed) {
   ServerSpec spec;
   spec.prefill_tokens_per_second = 100000;
   spec.decode_tokens_per_second = 200;
   spec.speeds_guessed = true;
-  Pace pace(spec);
+  Pace speed(spec);
   for (int i = 0; i < 50; ++i) {
-    pace.AddFirstToken(0.6 + 0.02, pace.ExpectedFirstToken(20000, 1));
+    speed.AddFirstToken(0.6 + 0.02, speed.ExpectedFirstToken(20000, 1));
   }
-  BOOST_TEST(pace.prefill_speed() < 40000);
-  BOOST_TEST(pace.FirstTokenSeconds(600, 1) < 0.1);
+  BOOST_TEST(speed.prefill_speed() < 40000);
+  BOOST_TEST(speed.FirstTokenSeconds(600, 1) < 0.1);
 }
 
 // --- Prefix cache ------------------------------------------------------------
@@ -181,9 +184,11 @@
   return chain;
 }
 
-class CachePicture {
+// A prefix cache with two servers of 64000 tokens each, and a chain of 100
+// blocks.
+class PrefixCacheFixture {
  public:
-  CachePicture() {
+  PrefixCacheFixture() {
     ServerSpec spec;
     spec.cache_tokens = 64000;
     cache.SetServer(0, spec);
@@ -196,42 +201,42 @@
   std::vector<PrefixMark> marks = MarksOf(Chain(100));
 };
 
-BOOST_AUTO_TEST_CASE(OwnGrantsAreRememberedAndDoubtedWithAge) {
-  CachePicture picture;
-  picture.cache.Granted(0, picture.marks, 6400, At(1));
-  BOOST_TEST(picture.Cached(0, 1) == 6400);
-  BOOST_TEST(picture.Cached(1, 1) == 0);
-  BOOST_TEST(picture.Cached(0, 300) < 4000);
-  // Other prompts have replaced half of the cache.
-  picture.cache.Granted(0, {}, 32000, At(1));
-  BOOST_TEST(picture.Cached(0, 1) == 3200);
+BOOST_AUTO_TEST_CASE(EntriesOfOwnGrantsExpireWithAge) {
+  PrefixCacheFixture fixture;
+  fixture.cache.Granted(0, fixture.marks, 6400, At(1));
+  BOOST_TEST(fixture.Cached(0, 1) == 6400);
+  BOOST_TEST(fixture.Cached(1, 1) == 0);
+  BOOST_TEST(fixture.Cached(0, 300) < 4000);
+  // Other prompts replace half of the cache.
+  fixture.cache.Granted(0, {}, 32000, At(1));
+  BOOST_TEST(fixture.Cached(0, 1) == 3200);
 }
 
-// Events are lost on the way. Believing the rest as before would send work
-// after blocks that were evicted unseen.
-BOOST_AUTO_TEST_CASE(GapsInTheEventsRaiseDoubt) {
-  CachePicture picture;
-  picture.cache.Changed(0, {.sequence = 1, .added = Chain(100)}, At(1));
-  BOOST_TEST(picture.Cached(0, 1) == 6400);
-  picture.cache.Changed(0, {.sequence = 5}, At(1));
-  BOOST_TEST(picture.Cached(0, 1) == 4800);
-  picture.cache.Changed(0, {.sequence = 6, .cleared = true}, At(1));
-  BOOST_TEST(picture.Cached(0, 1) == 0);
-  // Late: it was overtaken.
-  picture.cache.Changed(0, {.sequence = 2, .added = Chain(100)}, At(1));
-  BOOST_TEST(picture.Cached(0, 1) == 0);
+// Cache events are lost. Without a lower probability for all entries, requests
+// would be sent to servers that have evicted the blocks.
+BOOST_AUTO_TEST_CASE(LostEventsReduceTheCachedProbability) {
+  PrefixCacheFixture fixture;
+  fixture.cache.Changed(0, {.sequence = 1, .added = Chain(100)}, At(1));
+  BOOST_TEST(fixture.Cached(0, 1) == 6400);
+  fixture.cache.Changed(0, {.sequence = 5}, At(1));
+  BOOST_TEST(fixture.Cached(0, 1) == 4800);
+  fixture.cache.Changed(0, {.sequence = 6, .cleared = true}, At(1));
+  BOOST_TEST(fixture.Cached(0, 1) == 0);
+  // An event that arrives out of order is ignored.
+  fixture.cache.Changed(0, {.sequence = 2, .added = Chain(100)}, At(1));
+  BOOST_TEST(fixture.Cached(0, 1) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(MemoryIsBounded) {
-  CachePicture picture;
+BOOST_AUTO_TEST_CASE(NumberOfEntriesIsBounded) {
+  PrefixCacheFixture fixture;
   for (std::uint64_t i = 0; i < 600; ++i) {
     CacheChanged event{.sequence = i + 1};
     for (PrefixHash hash = 0; hash < 1000; ++hash) {
       event.added.push_back(i * 1000 + hash);
     }
-    picture.cache.Changed(0, event, At(1));
+    fixture.cache.Changed(0, event, At(1));
   }
-  BOOST_TEST(picture.cache.entries() <= 262144u);
+  BOOST_TEST(fixture.cache.entries() <= 262144u);
 }
 
 // --- Refusal and limits ------------------------------------------------------
@@ -244,11 +249,11 @@
   const double rate = drain.PerSecond(100, At(30));
   BOOST_TEST(rate > 400);
   BOOST_TEST(rate < 520);
-  // Nothing more is granted: the rate falls.
+  // Without further grants, the rate falls.
   BOOST_TEST(drain.PerSecond(100, At(60)) < 200);
 }
 
-BOOST_AUTO_TEST_CASE(ComeBackTimesAreSpreadAndRepeatable) {
+BOOST_AUTO_TEST_CASE(RetryAfterTimesAreSpreadAndReproducible) {
   ComeBack first(7, absl::Seconds(1));
   ComeBack second(7, absl::Seconds(1));
   std::set<absl::Duration> times;
@@ -261,7 +266,7 @@
   BOOST_TEST(times.size() > 90u);
 }
 
-BOOST_AUTO_TEST_CASE(LimitsOfAWorkspace) {
+BOOST_AUTO_TEST_CASE(WorkspaceLimitsAreChecked) {
   WorkspaceLimits limits;
   WorkspaceSpec spec;
   spec.id = WorkspaceId("a");
@@ -280,15 +285,15 @@
   BOOST_TEST((limits.Check(a, request, At(0))->code == Code::kRateLimited));
   limits.WaitsNoMore(a, request);
   limits.RunsNoMore(a);
-  limits.Charge(a, 150);  // The bucket of 100 goes into debt.
+  limits.Charge(a, 150);  // The bucket of 100 tokens becomes negative.
   const auto breach = limits.Check(a, request, At(0));
   BOOST_TEST((breach->retry_after == absl::Seconds(5)));
   BOOST_TEST(!limits.Check(a, request, At(6)).has_value());
 }
 
-// A limit is divided anew several times a second. If each change filled the
-// bucket, the limit would hold nobody.
-BOOST_AUTO_TEST_CASE(ARateThatChangesOftenDoesNotFillTheBucket) {
+// The share of a rate limit changes several times per second. If each change
+// filled the bucket, the limit would have no effect.
+BOOST_AUTO_TEST_CASE(FrequentRateChangesDoNotFillTheBucket) {
   TokenBucket bucket;
   bucket.Rescale(10, 100, At(0));
   bucket.Take(60);
@@ -296,13 +301,13 @@
   BOOST_TEST(bucket.level() == 20);
   bucket.Take(50);
   bucket.Rescale(10, 100, At(0));
-  BOOST_TEST(bucket.level() == -30);  // A debt stays what it is.
+  BOOST_TEST(bucket.level() == -30);  // A debt is not scaled.
   BOOST_TEST((bucket.UntilFilled() == absl::Seconds(3)));
 }
 
-// Some calls fail on any server; one that fails must not close it. A server
-// that breaks everything looks idle and would draw all work to itself.
-BOOST_AUTO_TEST_CASE(ThreeFailuresInARowCloseAWindow) {
+// Some calls fail on any server, and a single failure must not close it. A
+// server that fails every request looks idle and would attract all requests.
+BOOST_AUTO_TEST_CASE(ThreeFailuresInARowCloseTheWindow) {
   Window window(8);
   window.Failed(At(0));
   window.Failed(At(0));
@@ -315,26 +320,27 @@
   BOOST_TEST(!window.OpenAt(At(1)));
 }
 
-// Nobody has told how fast a server is. A slow one must not count as a
-// straggler for ever because the guess was too good.
-BOOST_AUTO_TEST_CASE(AGuessIsReplacedByTheFirstSamples) {
-  Stretch guessed(/*guessed=*/true);
-  for (int i = 0; i < 5; ++i) guessed.Add(5);
-  BOOST_TEST(guessed.quick() > 4.5);
-  BOOST_TEST(!guessed.straggling());
-  Stretch configured(/*guessed=*/false);
+// The speed of a server is not configured. A slow server must not count as a
+// straggler forever because the default estimate was too high.
+BOOST_AUTO_TEST_CASE(FirstSamplesReplaceAnEstimatedSpeed) {
+  Stretch estimated(/*estimated=*/true);
+  for (int i = 0; i < 5; ++i) estimated.Add(5);
+  BOOST_TEST(estimated.quick() > 4.5);
+  BOOST_TEST(!estimated.straggling());
+  Stretch configured(/*estimated=*/false);
   for (int i = 0; i < 5; ++i) configured.Add(5);
   BOOST_TEST(configured.straggling());
 }
 
-// What others have learnt is used until own answers teach more.
-BOOST_AUTO_TEST_CASE(OwnSamplesGoBeforeWhatOthersTell) {
-  Stretch stretch(/*guessed=*/true);
-  stretch.Told(3);
-  BOOST_TEST(stretch.quick() == 3);
-  for (int i = 0; i < 30; ++i) stretch.Add(1);
-  stretch.Told(3);
-  BOOST_TEST(stretch.quick() < 1.1);
+// A slowdown measured by other dispatchers is used until there are enough own
+// samples.
+BOOST_AUTO_TEST_CASE(OwnSamplesOverrideTheSeed) {
+  Stretch slowdown(/*estimated=*/true);
+  slowdown.Told(3);
+  BOOST_TEST(slowdown.quick() == 3);
+  for (int i = 0; i < 30; ++i) slowdown.Add(1);
+  slowdown.Told(3);
+  BOOST_TEST(slowdown.quick() < 1.1);
 }
 
 BOOST_AUTO_TEST_CASE(RetriesAreEarnedBySuccesses) {
@@ -348,7 +354,7 @@
   BOOST_TEST(!budget.Take());
 }
 
-BOOST_AUTO_TEST_CASE(SignatureTellsDecisionsApart) {
+BOOST_AUTO_TEST_CASE(DifferentDecisionsHaveDifferentSignatures) {
   Signature first;
   Signature second;
   first.Add(Grant{RequestId("a"), EntryHostId("h"), ServerId("s")});
