--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -24,17 +24,17 @@
 // without it, a window of a plain service, whose calls show nothing before
 // their end, never seems full and never grows again.
 void Judge(State& state, Server& server, int running, bool slow) {
-  if (slow || server.pace.straggling()) return CutWindow(state, server);
+  if (slow || server.speed.straggling()) return CutWindow(state, server);
   server.window.Good(state.now, running >= server.window.streams());
 }
 
 // Between the two expectations, it is the cache that was misjudged, not the
 // server.
 void SampleFirstToken(Server& server, const Running& running, double seconds) {
-  if (seconds <= server.pace.Seconds(running.expected_first)) {
-    server.pace.AddFirstToken(seconds, running.expected_first);
-  } else if (seconds >= server.pace.Seconds(running.expected_uncached)) {
-    server.pace.AddFirstToken(seconds, running.expected_uncached);
+  if (seconds <= server.speed.TotalSeconds(running.expected_first)) {
+    server.speed.AddFirstTokenSample(seconds, running.expected_first);
+  } else if (seconds >= server.speed.TotalSeconds(running.expected_uncached)) {
+    server.speed.AddFirstTokenSample(seconds, running.expected_uncached);
   }
 }
 
@@ -60,7 +60,7 @@
   const int more = tokens - running.output_tokens;
   if (more <= 0) return;  // Overtaken on the way.
   const double seconds = absl::ToDoubleSeconds(state.now - running.reported);
-  server.pace.AddTokens(seconds / more, server.running());
+  server.speed.AddDecodeSample(seconds / more, server.running());
   Judge(state, server, server.running(), /*slow=*/false);
 }
 
@@ -96,14 +96,15 @@
   state.retries.OnCall();
   if (running.demand.plain) {
     if (running.taken_over) return;
-    server.pace.AddCall(absl::ToDoubleSeconds(state.now - running.granted));
+    server.speed.AddCallSample(
+        absl::ToDoubleSeconds(state.now - running.granted));
     return Judge(state, server, server.running() + 1, /*slow=*/false);
   }
   // The last stretch of the stream, or all of it where reports are few.
   const int more = event.output_tokens - running.output_tokens;
   if (running.first_token && more > 0) {
     const double seconds = absl::ToDoubleSeconds(state.now - running.reported);
-    server.pace.AddTokens(seconds / more, server.running() + 1);
+    server.speed.AddDecodeSample(seconds / more, server.running() + 1);
     Judge(state, server, server.running() + 1, /*slow=*/false);
   }
   state.estimator.Learn(origin.request, origin.workspace, event.output_tokens);
@@ -268,7 +269,7 @@
     const absl::Duration silent = state.now - running.granted;
     const double seconds = absl::ToDoubleSeconds(silent);
     if (!running.demand.plain) {
-      server.pace.AddFirstToken(seconds, running.expected_uncached);
+      server.speed.AddFirstTokenSample(seconds, running.expected_uncached);
     }
     CutWindow(state, server);
     // Noticed again when it has been silent for twice as long.
--- a/src/schedule/dispatcher.cc
+++ b/src/schedule/dispatcher.cc
@@ -67,7 +67,7 @@
 void LearnPace(State& state, const PaceElsewhere& event) {
   const ServerIndex server = state.fleet.Find(event.server);
   if (server == kNoIndex) return;
-  state.fleet.at(server).pace.Told(event.prefill, event.decode);
+  state.fleet.at(server).speed.Seed(event.prefill, event.decode);
   state.fleet.Reindex(server, state.now);
 }
 
@@ -187,9 +187,10 @@
 std::optional<PaceElsewhere> Dispatcher::PaceOf(const ServerId& server) const {
   const ServerIndex index = state_->fleet.Find(server);
   if (index == kNoIndex) return std::nullopt;
-  const Pace& pace = state_->fleet.at(index).pace;
-  if (!pace.learnt()) return std::nullopt;
-  return PaceElsewhere{server, pace.prefill_stretch(), pace.decode_stretch()};
+  const SpeedEstimator& speed = state_->fleet.at(index).speed;
+  if (!speed.learnt()) return std::nullopt;
+  return PaceElsewhere{server, speed.prefill_slowdown(),
+                       speed.decode_slowdown()};
 }
 
 int Dispatcher::window(const ServerId& server) const {
--- a/src/schedule/fake_site_test.h
+++ b/src/schedule/fake_site_test.h
@@ -191,14 +191,14 @@
   // Work of one stream in one step; prompts of a server go one by one.
   void Work(Stream* stream, std::map<ServerId, bool>* prefilling) {
     const auto slow = slowness.find(stream->server);
-    const double pace = slow == slowness.end() ? 1 : slow->second;
+    const double speed = slow == slowness.end() ? 1 : slow->second;
     const double seconds = absl::ToDoubleSeconds(kStep);
     if (stream->prompt > 0) {
       if (std::exchange((*prefilling)[stream->server], true)) return;
-      stream->prompt -= 5000 * pace * seconds;
+      stream->prompt -= 5000 * speed * seconds;
     } else {
       const double batch = 1 + 0.03 * (RunningOn(stream->server) - 1);
-      stream->tokens += 50 * pace * seconds / batch;
+      stream->tokens += 50 * speed * seconds / batch;
     }
   }
 
--- a/src/schedule/fleet.cc
+++ b/src/schedule/fleet.cc
@@ -139,7 +139,7 @@
   entry.key = key;
   entry.open = true;
   entry.prefilling = server.prefilling() > 0;
-  const bool idle_slow = server.running() == 0 && server.pace.stretched();
+  const bool idle_slow = server.running() == 0 && server.speed.slowed();
   if (probing || idle_slow) {
     entry.recheck_at = now + kRecheckInterval;
     rechecks_.insert({entry.recheck_at, index});
@@ -183,7 +183,7 @@
     const ServerIndex server = rechecks_.begin()->second;
     // Without this, a server whose predicted times exceed every deadline would
     // never get the request that could show it has recovered.
-    if (servers_[server].running() == 0) servers_[server].pace.Forget();
+    if (servers_[server].running() == 0) servers_[server].speed.Decay();
     Reindex(server, now);
     any = true;
   }
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -262,7 +262,7 @@
   const double prompt = waiting.request.prompt_tokens;
   running.expected_uncached = server.ExpectedFirstToken(prompt, now);
   running.predicted_first = demand.plain
-                                ? server.pace.CallSeconds()
+                                ? server.speed.CallSeconds()
                                 : server.FirstTokenSeconds(prompt, now);
   running.granted = now;
   running.reported = now;
--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -6,12 +6,12 @@
 #include "base/retry.h"
 #include "schedule/estimate.h"
 #include "schedule/limits.h"
-#include "schedule/pace.h"
 #include "schedule/power.h"
 #include "schedule/prefix_cache.h"
 #include "schedule/refuse.h"
 #include "schedule/server.h"
 #include "schedule/signature.h"
+#include "schedule/speed_estimator.h"
 #include "schedule/window.h"
 
 namespace gentianlb::schedule {
@@ -83,11 +83,11 @@
 BOOST_AUTO_TEST_CASE(SpeedFollowsSamplesAndDecaysWithoutThem) {
   ServerSpec spec;
   spec.decode_tokens_per_second = 50;
-  Pace speed(spec);
-  for (int i = 0; i < 10; ++i) speed.AddTokens(0.2, 1);
+  SpeedEstimator speed(spec);
+  for (int i = 0; i < 10; ++i) speed.AddDecodeSample(0.2, 1);
   BOOST_TEST(speed.straggling());
   BOOST_TEST(speed.TokenSeconds(1) > 0.18);
-  for (int i = 0; i < 10; ++i) speed.Forget();
+  for (int i = 0; i < 10; ++i) speed.Decay();
   BOOST_TEST(!speed.straggling());
 }
 
@@ -153,9 +153,9 @@
   spec.prefill_tokens_per_second = 100000;
   spec.decode_tokens_per_second = 200;
   spec.speeds_guessed = true;
-  Pace speed(spec);
+  SpeedEstimator speed(spec);
   for (int i = 0; i < 50; ++i) {
-    speed.AddFirstToken(0.115, speed.ExpectedFirstToken(600, 1));
+    speed.AddFirstTokenSample(0.115, speed.ExpectedFirstToken(600, 1));
   }
   BOOST_TEST(speed.FirstTokenSeconds(600, 1) > 0.1);
   BOOST_TEST(speed.FirstTokenSeconds(20000, 1) < 0.4);
@@ -168,9 +168,9 @@
   spec.prefill_tokens_per_second = 100000;
   spec.decode_tokens_per_second = 200;
   spec.speeds_guessed = true;
-  Pace speed(spec);
+  SpeedEstimator speed(spec);
   for (int i = 0; i < 50; ++i) {
-    speed.AddFirstToken(0.6 + 0.02, speed.ExpectedFirstToken(20000, 1));
+    speed.AddFirstTokenSample(0.6 + 0.02, speed.ExpectedFirstToken(20000, 1));
   }
   BOOST_TEST(speed.prefill_speed() < 40000);
   BOOST_TEST(speed.FirstTokenSeconds(600, 1) < 0.1);
@@ -323,11 +323,11 @@
 // The speed of a server is not configured. A slow server must not count as a
 // straggler forever because the default estimate was too high.
 BOOST_AUTO_TEST_CASE(FirstSamplesReplaceAnEstimatedSpeed) {
-  Stretch estimated(/*estimated=*/true);
+  Slowdown estimated(/*estimated=*/true);
   for (int i = 0; i < 5; ++i) estimated.Add(5);
-  BOOST_TEST(estimated.quick() > 4.5);
+  BOOST_TEST(estimated.recent() > 4.5);
   BOOST_TEST(!estimated.straggling());
-  Stretch configured(/*estimated=*/false);
+  Slowdown configured(/*estimated=*/false);
   for (int i = 0; i < 5; ++i) configured.Add(5);
   BOOST_TEST(configured.straggling());
 }
@@ -335,12 +335,12 @@
 // A slowdown measured by other dispatchers is used until there are enough own
 // samples.
 BOOST_AUTO_TEST_CASE(OwnSamplesOverrideTheSeed) {
-  Stretch slowdown(/*estimated=*/true);
-  slowdown.Told(3);
-  BOOST_TEST(slowdown.quick() == 3);
+  Slowdown slowdown(/*estimated=*/true);
+  slowdown.Seed(3);
+  BOOST_TEST(slowdown.recent() == 3);
   for (int i = 0; i < 30; ++i) slowdown.Add(1);
-  slowdown.Told(3);
-  BOOST_TEST(slowdown.quick() < 1.1);
+  slowdown.Seed(3);
+  BOOST_TEST(slowdown.recent() < 1.1);
 }
 
 BOOST_AUTO_TEST_CASE(RetriesAreEarnedBySuccesses) {
--- a/src/schedule/place.cc
+++ b/src/schedule/place.cc
@@ -73,9 +73,9 @@
       return 0;
     case ServerRole::kPrefill:
       return demand.output_tokens *
-             server.pace.TokenSeconds(server.running() + 1);
+             server.speed.TokenSeconds(server.running() + 1);
     case ServerRole::kDecode:
-      return server.pace.PrefillSeconds(demand.prefill_tokens);
+      return server.speed.PrefillSeconds(demand.prefill_tokens);
   }
   return 0;
 }
@@ -245,7 +245,7 @@
   }
 
   finish += RoleMismatchSeconds(server, demand);
-  const double uncached = server.pace.PrefillSeconds(demand.prefill_tokens);
+  const double uncached = server.speed.PrefillSeconds(demand.prefill_tokens);
   // A probe gets the best score, so that the first request that can afford it
   // is sent to the server.
   const double score =
--- a/src/schedule/running.h
+++ b/src/schedule/running.h
@@ -15,8 +15,8 @@
 #include "schedule/index.h"
 #include "schedule/messages.h"
 #include "schedule/order.h"
-#include "schedule/pace.h"
 #include "schedule/server.h"
+#include "schedule/speed_estimator.h"
 
 namespace gentianlb::schedule {
 
--- a/src/schedule/server.cc
+++ b/src/schedule/server.cc
@@ -31,7 +31,7 @@
 
 Server::Server(const ServerSpec& server)
     : spec(server),
-      pace(server),
+      speed(server),
       window(server.max_streams),
       recent_grants_(kPeerUpdateDelay) {}
 
@@ -42,7 +42,7 @@
       spec.prefill_tokens_per_second == changed.prefill_tokens_per_second &&
       spec.decode_tokens_per_second == changed.decode_tokens_per_second &&
       spec.speeds_guessed == changed.speeds_guessed;
-  if (!same_speed) pace = Pace(changed);
+  if (!same_speed) speed = SpeedEstimator(changed);
   window.SetBound(changed.max_streams);
   spec = changed;
   configured = true;
@@ -124,7 +124,7 @@
   // One prompt is always admitted, regardless of its length.
   if (prefill_tokens_ <= 0) return true;
   return prefill_tokens_ + prefill_tokens <=
-         kMaxPrefillSeconds * pace.prefill_speed();
+         kMaxPrefillSeconds * speed.prefill_speed();
 }
 
 bool Server::MemoryFits(std::int64_t kv_tokens) const {
@@ -137,27 +137,27 @@
 double Server::PrefillBacklog(absl::Time now) const {
   if (prefilling_ == 0) return 0;
   const double done =
-      absl::ToDoubleSeconds(now - prefill_since_) * pace.prefill_speed();
+      absl::ToDoubleSeconds(now - prefill_since_) * speed.prefill_speed();
   return std::max(0.0, prefill_tokens_ - done);
 }
 
 double Server::FirstTokenSeconds(double prefill_tokens, absl::Time now) const {
-  return pace.FirstTokenSeconds(PrefillBacklog(now) + prefill_tokens,
-                                running_ + peer_batch_streams_ + 1);
+  return speed.FirstTokenSeconds(PrefillBacklog(now) + prefill_tokens,
+                                 running_ + peer_batch_streams_ + 1);
 }
 
 double Server::FinishSeconds(const Demand& demand, absl::Time now) const {
-  if (demand.plain) return WithFailureCost(pace.CallSeconds());
+  if (demand.plain) return WithFailureCost(speed.CallSeconds());
   return WithFailureCost(
       FirstTokenSeconds(demand.prefill_tokens, now) +
       demand.output_tokens *
-          pace.TokenSeconds(running_ + peer_batch_streams_ + 1));
+          speed.TokenSeconds(running_ + peer_batch_streams_ + 1));
 }
 
 FirstTokenTime Server::ExpectedFirstToken(double prefill_tokens,
                                           absl::Time now) const {
-  return pace.ExpectedFirstToken(PrefillBacklog(now) + prefill_tokens,
-                                 running_);
+  return speed.ExpectedFirstToken(PrefillBacklog(now) + prefill_tokens,
+                                  running_);
 }
 
 int Server::ForeignStreams(absl::Time now) const {
--- a/src/schedule/server.h
+++ b/src/schedule/server.h
@@ -19,7 +19,7 @@
 #include "base/decaying_sum.h"
 #include "schedule/index.h"
 #include "schedule/messages.h"
-#include "schedule/pace.h"
+#include "schedule/speed_estimator.h"
 #include "schedule/window.h"
 
 namespace gentianlb::schedule {
@@ -91,7 +91,7 @@
   ServerHealth health = ServerHealth::kAlive;
   bool configured = true;
   std::vector<PoolIndex> pools;
-  Pace pace;
+  SpeedEstimator speed;
   Window window;
 
  private:
--- a/src/schedule/pace.cc
+++ b/src/schedule/speed_estimator.cc
@@ -1,4 +1,4 @@
-#include "schedule/pace.h"
+#include "schedule/speed_estimator.h"
 
 #include <algorithm>
 
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-void Stretch::Add(double sample) {
+void Slowdown::Add(double sample) {
   sample = std::clamp(sample, kMinSample, kMaxSample);
   if (samples_ < kEnoughSamples) {
     // The arithmetic mean at first. The short-term average never gives a sample
@@ -83,20 +83,20 @@
   normal_ += (normal ? kNormalWeight : kStragglerWeight) * (sample - normal_);
 }
 
-void Stretch::Told(double slowdown) {
+void Slowdown::Seed(double slowdown) {
   if (samples_ >= kEnoughSamples) return;
   slowdown = std::clamp(slowdown, kMinSample, kMaxSample);
   recent_ = slowdown;
   normal_ = slowdown;
 }
 
-bool Stretch::straggling() const {
+bool Slowdown::straggling() const {
   return recent_ > kStragglerSlowdown * std::max(1.0, normal_);
 }
 
-bool Stretch::stretched() const { return recent_ > kMinSlowdown; }
+bool Slowdown::slowed() const { return recent_ > kMinSlowdown; }
 
-void Stretch::Forget() {
+void Slowdown::Decay() {
   if (recent_ > kMinSlowdown * normal_) {
     recent_ = (recent_ + normal_) / 2;
     return;
@@ -106,7 +106,7 @@
   recent_ = std::min(recent_, normal_);
 }
 
-Pace::Pace(const ServerSpec& spec)
+SpeedEstimator::SpeedEstimator(const ServerSpec& spec)
     : prefill_token_seconds_(SecondsPerToken(spec.prefill_tokens_per_second,
                                              kDefaultPrefillSpeed)),
       decode_token_seconds_(
@@ -116,84 +116,86 @@
       decode_(spec.speeds_guessed),
       call_seconds_(kInitialCallSeconds) {}
 
-double Pace::PrefillSeconds(double tokens) const {
-  return tokens * prefill_token_seconds_ * prefill_.quick();
+double SpeedEstimator::PrefillSeconds(double tokens) const {
+  return tokens * prefill_token_seconds_ * prefill_.recent();
 }
 
-double Pace::TokenSeconds(int streams) const {
-  return decode_token_seconds_ * BatchFactor(streams) * decode_.quick();
+double SpeedEstimator::TokenSeconds(int streams) const {
+  return decode_token_seconds_ * BatchFactor(streams) * decode_.recent();
 }
 
-double Pace::CallSeconds() const { return call_seconds_; }
+double SpeedEstimator::CallSeconds() const { return call_seconds_; }
 
-double Pace::FirstTokenSeconds(double prefill_tokens, int streams) const {
+double SpeedEstimator::FirstTokenSeconds(double prefill_tokens,
+                                         int streams) const {
   return PrefillSeconds(prefill_tokens) + overhead_ + TokenSeconds(streams);
 }
 
-FirstTokenTime Pace::ExpectedFirstToken(double prefill_tokens,
-                                        int streams) const {
+FirstTokenTime SpeedEstimator::ExpectedFirstToken(double prefill_tokens,
+                                                  int streams) const {
   const double prompt = prefill_tokens * prefill_token_seconds_;
   if (estimated_) return {prompt, overhead_ + TokenSeconds(streams)};
   return {prompt,
           kRoundTripSeconds + decode_token_seconds_ * BatchFactor(streams)};
 }
 
-double Pace::Seconds(const FirstTokenTime& expected) const {
-  const double slowdown = estimated_ ? prefill_.quick() : 1;
+double SpeedEstimator::TotalSeconds(const FirstTokenTime& expected) const {
+  const double slowdown = estimated_ ? prefill_.recent() : 1;
   return expected.prompt * slowdown + expected.rest;
 }
 
-void Pace::AddFirstToken(double seconds, const FirstTokenTime& expected) {
+void SpeedEstimator::AddFirstTokenSample(double seconds,
+                                         const FirstTokenTime& expected) {
   if (estimated_) return LearnFirstToken(seconds, expected);
-  prefill_.Add(seconds / Seconds(expected));
+  prefill_.Add(seconds / TotalSeconds(expected));
 }
 
 // Splits the prediction error between the prompt and the rest in proportion to
 // their squares, as in a least squares fit with relative errors.
-void Pace::LearnFirstToken(double seconds, const FirstTokenTime& expected) {
+void SpeedEstimator::LearnFirstToken(double seconds,
+                                     const FirstTokenTime& expected) {
   const double prompt_squared = expected.prompt * expected.prompt;
   const double rest = std::max(expected.rest, kTypicalRestSeconds);
   const double prompt_share = prompt_squared / (prompt_squared + rest * rest);
-  const double error = seconds - Seconds(expected);
+  const double error = seconds - TotalSeconds(expected);
   if (expected.prompt > 0) {
-    prefill_.Add(prefill_.quick() + prompt_share * error / expected.prompt);
+    prefill_.Add(prefill_.recent() + prompt_share * error / expected.prompt);
   }
   overhead_ =
       std::max(0.0, overhead_ + kRecentWeight * (1 - prompt_share) * error);
 }
 
-void Pace::AddTokens(double seconds_per_token, int streams) {
+void SpeedEstimator::AddDecodeSample(double seconds_per_token, int streams) {
   decode_.Add(seconds_per_token /
               (decode_token_seconds_ * BatchFactor(streams)));
 }
 
-void Pace::AddCall(double seconds) {
+void SpeedEstimator::AddCallSample(double seconds) {
   call_seconds_ += (has_calls_ ? kCallWeight : 1) * (seconds - call_seconds_);
   has_calls_ = true;
 }
 
-void Pace::Told(double prefill, double decode) {
-  prefill_.Told(prefill);
-  decode_.Told(decode);
+void SpeedEstimator::Seed(double prefill, double decode) {
+  prefill_.Seed(prefill);
+  decode_.Seed(decode);
 }
 
-void Pace::Forget() {
-  prefill_.Forget();
-  decode_.Forget();
+void SpeedEstimator::Decay() {
+  prefill_.Decay();
+  decode_.Decay();
   overhead_ /= 2;
 }
 
-bool Pace::straggling() const {
+bool SpeedEstimator::straggling() const {
   return prefill_.straggling() || decode_.straggling();
 }
 
-bool Pace::stretched() const {
-  return prefill_.stretched() || decode_.stretched() ||
-         overhead_ > kRoundTripSeconds;
+bool SpeedEstimator::slowed() const {
+  return prefill_.slowed() || decode_.slowed() || overhead_ > kRoundTripSeconds;
 }
 
-double Pace::prefill_speed() const {
-  return 1 / (prefill_token_seconds_ * prefill_.quick());
+double SpeedEstimator::prefill_speed() const {
+  return 1 / (prefill_token_seconds_ * prefill_.recent());
 }
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/pace.h
+++ b/src/schedule/speed_estimator.h
@@ -10,32 +10,33 @@
 // slowdown of the server. A straggler is a server whose short-term average is
 // far above its normal slowdown.
 
-#ifndef GENTIANLB_SCHEDULE_PACE_H_
-#define GENTIANLB_SCHEDULE_PACE_H_
+#ifndef GENTIANLB_SCHEDULE_SPEED_ESTIMATOR_H_
+#define GENTIANLB_SCHEDULE_SPEED_ESTIMATOR_H_
 
 #include "schedule/messages.h"
 
 namespace gentianlb::schedule {
 
 // Short-term and long-term average of measured time divided by expected time.
-class Stretch {
+class Slowdown {
  public:
   // `estimated`: the expected times are only estimates, and the first samples
   // replace them.
-  explicit Stretch(bool estimated) : samples_(estimated ? 0 : kEnoughSamples) {}
+  explicit Slowdown(bool estimated)
+      : samples_(estimated ? 0 : kEnoughSamples) {}
 
   // Adds one measurement: measured time divided by expected time.
   void Add(double sample);
   // Sets both averages to a slowdown measured by other dispatchers, unless
   // there are enough own samples.
-  void Told(double slowdown);
+  void Seed(double slowdown);
   // Whether the averages rest on own samples or a certain expectation.
-  bool own() const { return samples_ > 0; }
-  double quick() const { return recent_; }
+  bool measured() const { return samples_ > 0; }
+  double recent() const { return recent_; }
   bool straggling() const;
-  bool stretched() const;  // Slower than expected.
+  bool slowed() const;  // Slower than expected.
   // Moves the averages toward normal. Called when there are no new samples.
-  void Forget();
+  void Decay();
 
  private:
   // Number of samples after which the averages replace an uncertain
@@ -55,9 +56,9 @@
 };
 
 // Learns how much slower a server is than configured, and predicts times.
-class Pace {
+class SpeedEstimator {
  public:
-  explicit Pace(const ServerSpec& spec);
+  explicit SpeedEstimator(const ServerSpec& spec);
 
   // Returns the seconds to compute `tokens` prompt tokens sequentially.
   double PrefillSeconds(double tokens) const;
@@ -74,29 +75,29 @@
   // Must be called when the request is sent.
   FirstTokenTime ExpectedFirstToken(double prefill_tokens, int streams) const;
   // Returns `expected` as a total in seconds.
-  double Seconds(const FirstTokenTime& expected) const;
+  double TotalSeconds(const FirstTokenTime& expected) const;
 
   // Adds the measured time to a first token.
-  void AddFirstToken(double seconds, const FirstTokenTime& expected);
+  void AddFirstTokenSample(double seconds, const FirstTokenTime& expected);
   // Adds the measured seconds per output token, with `streams` streams running.
-  void AddTokens(double seconds_per_token, int streams);
+  void AddDecodeSample(double seconds_per_token, int streams);
   // Adds the measured duration of a call of a plain service.
-  void AddCall(double seconds);
+  void AddCallSample(double seconds);
   // Sets the slowdowns measured by other dispatchers, until there are enough
   // own samples.
-  void Told(double prefill, double decode);
+  void Seed(double prefill, double decode);
   // Moves all learnt values toward normal. Called when there are no new
   // samples.
-  void Forget();
+  void Decay();
 
   bool straggling() const;
-  bool stretched() const;        // Slower than configured.
+  bool slowed() const;           // Slower than configured.
   double prefill_speed() const;  // Prompt tokens per second, as learnt.
-  double prefill_stretch() const { return prefill_.quick(); }
-  double decode_stretch() const { return decode_.quick(); }
+  double prefill_slowdown() const { return prefill_.recent(); }
+  double decode_slowdown() const { return decode_.recent(); }
   // Whether own responses have been measured for both prefill and decode, or
   // the configured speeds are certain.
-  bool learnt() const { return prefill_.own() && decode_.own(); }
+  bool learnt() const { return prefill_.measured() && decode_.measured(); }
 
  private:
   void LearnFirstToken(double seconds, const FirstTokenTime& expected);
@@ -104,8 +105,8 @@
   double prefill_token_seconds_;  // As configured.
   double decode_token_seconds_;   // Of a single stream, as configured.
   bool estimated_;                // Whether both speeds are only estimates.
-  Stretch prefill_;
-  Stretch decode_;
+  Slowdown prefill_;
+  Slowdown decode_;
   // Seconds to a first token in addition to the prompt and one decode step:
   // network and the engine's own queue. Kept separate from the prefill
   // slowdown; otherwise the 100 ms that short prompts wait for a slot would
@@ -119,4 +120,4 @@
 
 }  // namespace gentianlb::schedule
 
-#endif  // GENTIANLB_SCHEDULE_PACE_H_
+#endif  // GENTIANLB_SCHEDULE_SPEED_ESTIMATOR_H_
