--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -40,7 +40,7 @@
 
 void FirstToken(State& state, RunIndex index) {
   const Running& running = state.running.Get(index);
-  Server& server = state.fleet.at(running.server);
+  Server& server = state.servers.at(running.server);
   const double seconds = absl::ToDoubleSeconds(state.now - running.granted);
   bool slow = false;
   if (!running.taken_over) {
@@ -56,7 +56,7 @@
 
 void MoreTokens(State& state, RunIndex index, int tokens) {
   const Running& running = state.running.Get(index);
-  Server& server = state.fleet.at(running.server);
+  Server& server = state.servers.at(running.server);
   const int more = tokens - running.output_tokens;
   if (more <= 0) return;  // Overtaken on the way.
   const double seconds = absl::ToDoubleSeconds(state.now - running.reported);
@@ -73,7 +73,7 @@
       Corrected(running.origin.output, tokens, request.max_output_tokens);
   const std::int64_t needed = request.prompt_tokens + output.high;
   if (needed <= running.demand.kv_tokens) return;
-  state.fleet.at(running.server).AddMemory(needed - running.demand.kv_tokens);
+  state.servers.at(running.server).AddMemory(needed - running.demand.kv_tokens);
   Demand demand = running.demand;
   demand.kv_tokens = needed;
   state.running.SetDemand(index, demand);
@@ -81,7 +81,7 @@
 
 // Frees what `running` held, whatever its end.
 void Release(State& state, const Running& running) {
-  Server& server = state.fleet.at(running.server);
+  Server& server = state.servers.at(running.server);
   server.End(running.demand, running.first_token, state.now);
   state.power.End(running.server, !running.first_token,
                   running.cancelled.has_value());
@@ -92,7 +92,7 @@
 void LearnFromAnswer(State& state, const Running& running,
                      const RequestEnded& event) {
   const Waiting& origin = running.origin;
-  Server& server = state.fleet.at(running.server);
+  Server& server = state.servers.at(running.server);
   state.retries.OnCall();
   if (running.demand.plain) {
     if (running.taken_over) return;
@@ -146,7 +146,7 @@
 
 void TakeOver(State& state, const RequestRunning& event) {
   const Request& request = event.request;
-  const ServerIndex server = state.fleet.Find(event.server);
+  const ServerIndex server = state.servers.Find(event.server);
   if (server == kNoIndex) return;
   if (state.running.Find(request.id) != kNoIndex) return;
   // It was granted before this dispatcher heard of it as waiting.
@@ -155,7 +155,7 @@
     RemoveWaiting(state, waits->second);
     state.changes.all = true;
   }
-  const PoolIndex pool = state.fleet.FindPool(request.model);
+  const PoolIndex pool = state.servers.FindPool(request.model);
   if (pool == kNoIndex) return;
   const WorkspaceIndex workspace = state.limits.Number(request.workspace);
 
@@ -175,7 +175,7 @@
   running.taken_over = !event.just_sent;
   if (running.taken_over) running.overdue = absl::InfiniteFuture();
 
-  Server& target = state.fleet.at(server);
+  Server& target = state.servers.at(server);
   target.Begin(running.demand, state.now);
   state.power.Begin(server, /*prefilling=*/true);
   if (running.first_token) {
@@ -185,7 +185,7 @@
   state.limits.Runs(workspace);
   state.cache.Granted(server, running.origin.marks, 0, state.now);
   state.running.Add(std::move(running));
-  state.fleet.Reindex(server, state.now);
+  state.servers.Reindex(server, state.now);
 }
 
 void Streamed(State& state, const TokensStreamed& event) {
@@ -193,7 +193,7 @@
   if (index == kNoIndex) return;
   const Running& running = state.running.Get(index);
   const ServerIndex server = running.server;
-  const int window = state.fleet.at(server).window.streams();
+  const int window = state.servers.at(server).window.streams();
   const bool first = !running.first_token;
   if (first) {
     FirstToken(state, index);
@@ -204,10 +204,10 @@
   const int tokens = std::max(running.output_tokens, event.output_tokens);
   state.running.SetStreamed(index, tokens, state.now);
   // Prompt room and watts, or a larger window.
-  if (first || state.fleet.at(server).window.streams() > window) {
+  if (first || state.servers.at(server).window.streams() > window) {
     RoomOn(state, server);
   } else {
-    state.fleet.Reindex(server, state.now);
+    state.servers.Reindex(server, state.now);
   }
 }
 
@@ -216,7 +216,7 @@
   if (index == kNoIndex) return;
   Running running = state.running.Remove(index);
   const ServerIndex index_of_server = running.server;
-  Server& server = state.fleet.at(index_of_server);
+  Server& server = state.servers.at(index_of_server);
   Release(state, running);
   switch (event.kind) {
     case EndKind::kComplete:
@@ -263,7 +263,7 @@
     const RunIndex index = state.running.Overdue(state.now);
     if (index == kNoIndex) return;
     const Running& running = state.running.Get(index);
-    Server& server = state.fleet.at(running.server);
+    Server& server = state.servers.at(running.server);
     ++state.counters.silences;
     // It has taken at least this long.
     const absl::Duration silent = state.now - running.granted;
@@ -274,7 +274,7 @@
     CutWindow(state, server);
     // Noticed again when it has been silent for twice as long.
     state.running.SetOverdue(index, state.now + silent);
-    state.fleet.Reindex(running.server, state.now);
+    state.servers.Reindex(running.server, state.now);
   }
 }
 
--- a/src/schedule/dispatcher.cc
+++ b/src/schedule/dispatcher.cc
@@ -17,25 +17,25 @@
 
 // Takes a change of the servers into every module that keeps one by one.
 void ConfigureServers(State& state, const std::vector<ServerSpec>& specs) {
-  state.fleet.Configure(specs, state.now);
-  for (ServerIndex i = 0; i < state.fleet.size(); ++i) {
-    const Server& server = state.fleet.at(i);
+  state.servers.Configure(specs, state.now);
+  for (ServerIndex i = 0; i < state.servers.size(); ++i) {
+    const Server& server = state.servers.at(i);
     state.power.SetServer(i, server.spec, server.configured);
     state.cache.SetServer(i, server.spec);
   }
-  state.drains.resize(state.fleet.pools());
+  state.drains.resize(state.servers.pools());
   state.changes.all = true;
   RefuseUnserved(state);
 }
 
 void ChangeHealth(State& state, const ServerHealthChanged& event) {
-  const ServerIndex server = state.fleet.Find(event.server);
+  const ServerIndex server = state.servers.Find(event.server);
   if (server == kNoIndex) return;
-  const ServerHealth before = state.fleet.at(server).health;
+  const ServerHealth before = state.servers.at(server).health;
   if (before == event.health) return;
   // What comes back from the dead was started anew, with an empty cache.
   if (before == ServerHealth::kDead) state.cache.Clear(server, state.now);
-  state.fleet.SetHealth(server, event.health, state.now);
+  state.servers.SetHealth(server, event.health, state.now);
   state.changes.all = true;
   RefuseUnserved(state);
 }
@@ -58,17 +58,17 @@
 // News of one server's load, told to it by `Learn`.
 template <auto Learn, typename Event>
 void LearnLoad(State& state, const Event& event) {
-  const ServerIndex server = state.fleet.Find(event.server);
+  const ServerIndex server = state.servers.Find(event.server);
   if (server == kNoIndex) return;
-  (state.fleet.at(server).*Learn)(event, state.now);
+  (state.servers.at(server).*Learn)(event, state.now);
   RoomOn(state, server);
 }
 
 void LearnPace(State& state, const PaceElsewhere& event) {
-  const ServerIndex server = state.fleet.Find(event.server);
+  const ServerIndex server = state.servers.Find(event.server);
   if (server == kNoIndex) return;
-  state.fleet.at(server).speed.Seed(event.prefill, event.decode);
-  state.fleet.Reindex(server, state.now);
+  state.servers.at(server).speed.Seed(event.prefill, event.decode);
+  state.servers.Reindex(server, state.now);
 }
 
 struct EventHandler {
@@ -90,7 +90,7 @@
   }
   void operator()(const PaceElsewhere& event) { LearnPace(state, event); }
   void operator()(const CacheChanged& event) {
-    const ServerIndex server = state.fleet.Find(event.server);
+    const ServerIndex server = state.servers.Find(event.server);
     if (server != kNoIndex) state.cache.Changed(server, event, state.now);
   }
   void operator()(const ServerHealthChanged& event) {
@@ -137,7 +137,7 @@
 
   // What the time alone brings about.
   NoticeSilence(state);
-  state.changes.all |= state.fleet.Reopen(state.now);
+  state.changes.all |= state.servers.RecheckDue(state.now);
   state.changes.all |= state.now >= state.urgent_at;
   EnforceShare(state);
   CancelLate(state);
@@ -156,7 +156,7 @@
   const absl::Time silence = state.running.NextOverdue();
   if (state.queue.empty()) return silence;
   absl::Time next = std::min(silence, state.queue.FirstExpiry());
-  next = std::min(next, state.fleet.NextReopening());
+  next = std::min(next, state.servers.NextRecheckTime());
   next = std::min(next, state.urgent_at);
   const RunIndex late = state.running.EarliestDeadline();
   if (late == kNoIndex) return next;
@@ -174,8 +174,8 @@
 
 int Dispatcher::FreeStreams() const {
   int free = 0;
-  for (ServerIndex i = 0; i < state_->fleet.size(); ++i) {
-    const Server& server = state_->fleet.at(i);
+  for (ServerIndex i = 0; i < state_->servers.size(); ++i) {
+    const Server& server = state_->servers.at(i);
     if (server.Open(state_->now)) free += server.FreeStreams(state_->now);
   }
   return free;
@@ -185,17 +185,17 @@
 std::size_t Dispatcher::running() const { return state_->running.size(); }
 
 std::optional<PaceElsewhere> Dispatcher::PaceOf(const ServerId& server) const {
-  const ServerIndex index = state_->fleet.Find(server);
+  const ServerIndex index = state_->servers.Find(server);
   if (index == kNoIndex) return std::nullopt;
-  const SpeedEstimator& speed = state_->fleet.at(index).speed;
+  const SpeedEstimator& speed = state_->servers.at(index).speed;
   if (!speed.learnt()) return std::nullopt;
   return PaceElsewhere{server, speed.prefill_slowdown(),
                        speed.decode_slowdown()};
 }
 
 int Dispatcher::window(const ServerId& server) const {
-  const ServerIndex index = state_->fleet.Find(server);
-  return index == kNoIndex ? 0 : state_->fleet.at(index).window.streams();
+  const ServerIndex index = state_->servers.Find(server);
+  return index == kNoIndex ? 0 : state_->servers.at(index).window.streams();
 }
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -59,8 +59,8 @@
  public:
   explicit Round(State& state)
       : state_(state),
-        placer_(state.options.weights, state.fleet, state.power, state.cache),
-        closed_pools_(state.fleet.pools(), false) {}
+        placer_(state.options.weights, state.servers, state.power, state.cache),
+        closed_pools_(state.servers.pools(), false) {}
 
   void Run();
 
@@ -220,7 +220,7 @@
   // Before it is taken out, as the backlog may end with it.
   state_.lane_drains.at({head.request.tier, head.pool}).Granted(head.work, now);
   Waiting waiting = RemoveWaiting(state_, index);
-  Server& server = state_.fleet.at(placement.server);
+  Server& server = state_.servers.at(placement.server);
   const Demand& demand = placement.demand;
 
   // The turn, the rate and the drain are paid with the estimate; the end of the
@@ -241,7 +241,7 @@
   const schedule::Grant decision{origin.request.id, origin.request.host,
                                  server.spec.id};
   state_.running.Add(std::move(running));
-  state_.fleet.Reindex(placement.server, now);
+  state_.servers.Reindex(placement.server, now);
   ++state_.counters.granted;
   Emit(state_, decision);
 }
@@ -250,7 +250,7 @@
 
 Running BeginOn(const State& state, Waiting waiting, ServerIndex index,
                 const Demand& demand, double cached_tokens) {
-  const Server& server = state.fleet.at(index);
+  const Server& server = state.servers.at(index);
   const absl::Time now = state.now;
   Running running;
   running.server = index;
--- a/src/schedule/intake.cc
+++ b/src/schedule/intake.cc
@@ -30,7 +30,7 @@
 double BestServiceSeconds(const State& state, const Waiting& waiting,
                           double output) {
   if (waiting.request.model.empty()) return 0;
-  const Pool& pool = state.fleet.pool(waiting.pool);
+  const Pool& pool = state.servers.pool(waiting.pool);
   const PrefixCache::Lookup lookup = state.cache.Find(waiting.marks);
   std::vector<ServerIndex> holders;
   lookup.DeepestHolders(1, &holders);
@@ -192,7 +192,7 @@
       request.parts.empty() ? MarksOf(request.prefix) : request.parts;
   waiting.request.prefix = {};  // The marks are enough, and far smaller.
   waiting.request.parts = {};
-  waiting.avoid = state.fleet.Find(request.avoid);
+  waiting.avoid = state.servers.Find(request.avoid);
   waiting.workspace = workspace;
   waiting.pool = pool;
   waiting.weight = state.limits.weight(workspace);
@@ -231,8 +231,8 @@
   if (known) return;
 
   // Somebody has to be there to serve it.
-  const PoolIndex pool = state.fleet.FindPool(request.model);
-  if (pool == kNoIndex || state.fleet.pool(pool).usable == 0) {
+  const PoolIndex pool = state.servers.FindPool(request.model);
+  if (pool == kNoIndex || state.servers.pool(pool).usable == 0) {
     RefuseRequest(state, request, Code::kNoServer,
                   state.come_back.After(kNoServerSeconds));
     return;
@@ -256,7 +256,7 @@
   state.queue.Correct(lane, waiting.workspace, waiting.weight, -waiting.work);
   ++waiting.attempts;
   waiting.avoid = failed;
-  const bool usable = state.fleet.pool(waiting.pool).usable > 0;
+  const bool usable = state.servers.pool(waiting.pool).usable > 0;
   if (!usable || waiting.attempts >= kMaxAttempts || !state.retries.Take()) {
     RefuseRequest(state, waiting.request, Code::kServerUnreachable,
                   ComeBackAfter(state, lane));
@@ -280,7 +280,7 @@
 
 void RefuseUnserved(State& state) {
   for (const LaneKey& lane : state.queue.Lanes()) {
-    if (state.fleet.pool(lane.pool).usable > 0) continue;
+    if (state.servers.pool(lane.pool).usable > 0) continue;
     for (const WaitIndex index : state.queue.AllOf(lane.pool)) {
       RefuseWaiting(state, index, Code::kNoServer,
                     state.come_back.After(kNoServerSeconds));
--- a/src/schedule/place.cc
+++ b/src/schedule/place.cc
@@ -95,12 +95,12 @@
   double best_cached = 0;       // Most prompt tokens cached on any server.
 
   // Returns whether `server` is excluded for this request.
-  bool IsClosed(const Fleet& fleet, ServerIndex server) const {
-    if (server == waiting.avoid && fleet.pool(waiting.pool).usable > 1) {
+  bool IsClosed(const ServerSet& servers, ServerIndex server) const {
+    if (server == waiting.avoid && servers.pool(waiting.pool).usable > 1) {
       return true;
     }
     if (Contains(*search.held, server)) return true;
-    const std::vector<PoolIndex>& pools = fleet.at(server).pools;
+    const std::vector<PoolIndex>& pools = servers.at(server).pools;
     return std::any_of(pools.begin(), pools.end(), [this](PoolIndex pool) {
       return (*search.closed_pools)[pool];
     });
@@ -131,7 +131,7 @@
   lookup.DeepestHolders(kMaxHolders, &holders);
   double best = 0;
   for (const ServerIndex holder : holders) {
-    const Server& server = fleet_.at(holder);
+    const Server& server = servers_.at(holder);
     const bool healthy = server.configured && !server.window.probing() &&
                          server.health == ServerHealth::kAlive;
     if (healthy) best = std::max(best, lookup.CachedTokens(holder, now));
@@ -145,7 +145,7 @@
     candidates_ = *search.only;
     return;
   }
-  const Pool& pool = fleet_.pool(waiting.pool);
+  const Pool& pool = servers_.pool(waiting.pool);
   candidates_.clear();
   AddFront(pool.open, kMaxFastest, &candidates_);
   // With little power left, only servers that are already computing prompts may
@@ -157,7 +157,7 @@
 Placement Placer::Place(const Waiting& waiting, const Reserves& reserves,
                         const Search& search, absl::Time now) {
   Placement best;
-  if (fleet_.pool(waiting.pool).open.empty()) return best;
+  if (servers_.pool(waiting.pool).open.empty()) return best;
   if ((*search.closed_pools)[waiting.pool]) return best;
   const PrefixCache::Lookup lookup = cache_.Find(waiting.marks);
   const bool may_wait = !waiting.marks.empty() && MayWaitForCache(waiting, now);
@@ -184,7 +184,7 @@
 
 void Placer::Consider(ServerIndex index, const Criteria& criteria,
                       Placement* best, double* best_score) const {
-  const Server& server = fleet_.at(index);
+  const Server& server = servers_.at(index);
   const Waiting& waiting = criteria.waiting;
   const auto& pools = server.pools;
   if (std::find(pools.begin(), pools.end(), waiting.pool) == pools.end()) {
@@ -196,7 +196,7 @@
   if (server.FreeStreams(criteria.now) <= reserved && server.running() > 0) {
     return Block(Hindrance::kReserved, best);
   }
-  if (criteria.IsClosed(fleet_, index)) return;
+  if (criteria.IsClosed(servers_, index)) return;
 
   const double cached =
       std::min<double>(waiting.request.prompt_tokens,
@@ -211,7 +211,7 @@
       !server.PrefillFits(demand.prefill_tokens)) {
     const bool first = best->server == kNoIndex;
     const bool more_memory =
-        first || server.FreeMemory() > fleet_.at(best->server).FreeMemory();
+        first || server.FreeMemory() > servers_.at(best->server).FreeMemory();
     if (best->hindrance != Hindrance::kNone && more_memory)
       best->server = index;
     return Block(Hindrance::kTooLarge, best);
--- a/src/schedule/place.h
+++ b/src/schedule/place.h
@@ -16,11 +16,11 @@
 #include <vector>
 
 #include "absl/time/time.h"
-#include "schedule/fleet.h"
 #include "schedule/index.h"
 #include "schedule/order.h"
 #include "schedule/power.h"
 #include "schedule/prefix_cache.h"
+#include "schedule/server_set.h"
 
 namespace gentianlb::schedule {
 
@@ -68,9 +68,9 @@
 // Scores candidate servers and selects the best one for a request.
 class Placer {
  public:
-  Placer(const Weights& weights, const Fleet& fleet, const PowerLedger& power,
-         const PrefixCache& cache)
-      : weights_(weights), fleet_(fleet), power_(power), cache_(cache) {}
+  Placer(const Weights& weights, const ServerSet& servers,
+         const PowerLedger& power, const PrefixCache& cache)
+      : weights_(weights), servers_(servers), power_(power), cache_(cache) {}
 
   // Returns the best placement of `waiting`. Changes no state.
   Placement Place(const Waiting& waiting, const Reserves& reserves,
@@ -96,7 +96,7 @@
                 double* best_score) const;
 
   Weights weights_;
-  const Fleet& fleet_;
+  const ServerSet& servers_;
   const PowerLedger& power_;
   const PrefixCache& cache_;
   std::vector<ServerIndex> candidates_;  // Reused to avoid allocations.
--- a/src/schedule/preempt.cc
+++ b/src/schedule/preempt.cc
@@ -38,7 +38,7 @@
   while (state.power.MustCancel()) {
     const RunIndex victim = state.running.FirstVictim(
         /*above=*/-1, kAll, [&](const Running& running) {
-          return DrawsPower(state.fleet.at(running.server));
+          return DrawsPower(state.servers.at(running.server));
         });
     if (victim == kNoIndex) return;
     CancelRunning(state, victim, WasteCause::kPowerShare);
@@ -72,7 +72,7 @@
   if (state.preempting >= kMaxPreempting) return;
   const RunIndex victim = state.running.FirstVictim(
       waiting.request.tier.rank, kPreemptTried, [&](const Running& running) {
-        const Server& server = state.fleet.at(running.server);
+        const Server& server = state.servers.at(running.server);
         const bool helps = for_power
                                ? DrawsPower(server)
                                : server.configured &&
--- a/src/schedule/fleet.cc
+++ b/src/schedule/server_set.cc
@@ -1,4 +1,4 @@
-#include "schedule/fleet.h"
+#include "schedule/server_set.h"
 
 #include <algorithm>
 #include <cmath>
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-std::vector<ServerIndex> Fleet::Configure(const std::vector<ServerSpec>& specs,
-                                          absl::Time now) {
+std::vector<ServerIndex> ServerSet::Configure(
+    const std::vector<ServerSpec>& specs, absl::Time now) {
   for (ServerIndex i = 0; i < servers_.size(); ++i) {
     Unindex(i);
     servers_[i].configured = false;
@@ -60,13 +60,13 @@
   return configured;
 }
 
-PoolIndex Fleet::FindOrAddPool(const ModelId& model) {
+PoolIndex ServerSet::FindOrAddPool(const ModelId& model) {
   const PoolIndex index = models_.Number(model);
   if (index == pools_.size()) pools_.push_back(Pool{.model = model});
   return index;
 }
 
-void Fleet::AddToPool(ServerIndex server, const ModelId& model) {
+void ServerSet::AddToPool(ServerIndex server, const ModelId& model) {
   const PoolIndex index = FindOrAddPool(model);
   std::vector<PoolIndex>& pools = servers_[server].pools;
   // A configuration may list a model twice.
@@ -75,7 +75,7 @@
   pools_[index].servers.push_back(server);
 }
 
-void Fleet::SummarizePools() {
+void ServerSet::SummarizePools() {
   for (Pool& pool : pools_) {
     pool.usable = 0;
     pool.best_prefill_speed = 0;
@@ -94,13 +94,14 @@
   }
 }
 
-void Fleet::SetHealth(ServerIndex server, ServerHealth health, absl::Time now) {
+void ServerSet::SetHealth(ServerIndex server, ServerHealth health,
+                          absl::Time now) {
   servers_[server].health = health;
   SummarizePools();
   Reindex(server, now);
 }
 
-void Fleet::Unindex(ServerIndex server) {
+void ServerSet::Unindex(ServerIndex server) {
   IndexEntry& entry = entries_[server];
   if (entry.recheck_at != absl::InfiniteFuture()) {
     rechecks_.erase({entry.recheck_at, server});
@@ -116,7 +117,7 @@
   entry.open = false;
 }
 
-void Fleet::Reindex(ServerIndex index, absl::Time now) {
+void ServerSet::Reindex(ServerIndex index, absl::Time now) {
   const Server& server = servers_[index];
   const bool probing = server.window.probing();
   const bool open = server.Open(now);
@@ -152,7 +153,7 @@
   }
 }
 
-bool Fleet::KeepsPlace(ServerIndex index, double key) const {
+bool ServerSet::KeepsPlace(ServerIndex index, double key) const {
   const IndexEntry& entry = entries_[index];
   const Server& server = servers_[index];
   return entry.open && entry.recheck_at == absl::InfiniteFuture() &&
@@ -161,7 +162,7 @@
          std::abs(key - entry.key) <= kKeyTolerance * entry.key;
 }
 
-double Fleet::OwnPart(PoolIndex pool, absl::Time now) const {
+double ServerSet::OwnShare(PoolIndex pool, absl::Time now) const {
   int own = 0;
   int all = 0;
   for (const ServerIndex index : pools_[pool].servers) {
@@ -172,12 +173,12 @@
   return (own + 1.0) / (all + 1.0);
 }
 
-absl::Time Fleet::NextReopening() const {
+absl::Time ServerSet::NextRecheckTime() const {
   if (rechecks_.empty()) return absl::InfiniteFuture();
   return rechecks_.begin()->first;
 }
 
-bool Fleet::Reopen(absl::Time now) {
+bool ServerSet::RecheckDue(absl::Time now) {
   bool any = false;
   while (!rechecks_.empty() && rechecks_.begin()->first <= now) {
     const ServerIndex server = rechecks_.begin()->second;
--- a/src/schedule/fleet.h
+++ b/src/schedule/server_set.h
@@ -5,8 +5,8 @@
 // server for every request would cost O(n) per decision; the index costs
 // O(log n).
 
-#ifndef GENTIANLB_SCHEDULE_FLEET_H_
-#define GENTIANLB_SCHEDULE_FLEET_H_
+#ifndef GENTIANLB_SCHEDULE_SERVER_SET_H_
+#define GENTIANLB_SCHEDULE_SERVER_SET_H_
 
 #include <cstddef>
 #include <deque>
@@ -40,7 +40,7 @@
 };
 
 // Keeps the state of all servers and finds those that can take a request.
-class Fleet {
+class ServerSet {
  public:
   // Replaces the configuration of all servers and rebuilds the pools. Returns
   // the indexes of the servers in `specs`, in the same order. Servers that are
@@ -66,13 +66,13 @@
 
   // Returns the fraction of the pool's running streams that this dispatcher
   // granted. Counts the streams of other dispatchers only where they are known.
-  double OwnPart(PoolIndex pool, absl::Time now) const;
+  double OwnShare(PoolIndex pool, absl::Time now) const;
 
   // Returns when the next closed server may be probed, or the measured slowdown
   // of the next idle server is halved; InfiniteFuture() if never.
-  absl::Time NextReopening() const;
+  absl::Time NextRecheckTime() const;
   // Rechecks the servers that are due. Returns whether there were any.
-  bool Reopen(absl::Time now);
+  bool RecheckDue(absl::Time now);
 
  private:
   struct IndexEntry {
@@ -102,4 +102,4 @@
 
 }  // namespace gentianlb::schedule
 
-#endif  // GENTIANLB_SCHEDULE_FLEET_H_
+#endif  // GENTIANLB_SCHEDULE_SERVER_SET_H_
--- a/src/schedule/state.cc
+++ b/src/schedule/state.cc
@@ -15,7 +15,8 @@
 
 // Several dispatchers may share the pool; the first guess is this one's part.
 double OwnCapacity(const State& state, PoolIndex pool) {
-  return state.fleet.pool(pool).capacity * state.fleet.OwnPart(pool, state.now);
+  return state.servers.pool(pool).capacity *
+         state.servers.OwnShare(pool, state.now);
 }
 
 }  // namespace
@@ -100,8 +101,8 @@
 }
 
 void RoomOn(State& state, ServerIndex server) {
-  state.fleet.Reindex(server, state.now);
-  const std::vector<PoolIndex>& pools = state.fleet.at(server).pools;
+  state.servers.Reindex(server, state.now);
+  const std::vector<PoolIndex>& pools = state.servers.at(server).pools;
   state.changes.servers.push_back(server);
   state.changes.pools.insert(state.changes.pools.end(), pools.begin(),
                              pools.end());
--- a/src/schedule/state.h
+++ b/src/schedule/state.h
@@ -13,7 +13,6 @@
 #include "base/retry.h"
 #include "schedule/counters.h"
 #include "schedule/estimate.h"
-#include "schedule/fleet.h"
 #include "schedule/index.h"
 #include "schedule/limits.h"
 #include "schedule/messages.h"
@@ -23,6 +22,7 @@
 #include "schedule/prefix_cache.h"
 #include "schedule/refuse.h"
 #include "schedule/running.h"
+#include "schedule/server_set.h"
 #include "schedule/signature.h"
 
 namespace gentianlb::schedule {
@@ -60,7 +60,7 @@
 
   WaitingQueue queue;
   RunningTable running;
-  Fleet fleet;
+  ServerSet servers;
   PowerLedger power;
   PrefixCache cache;
   WorkspaceLimits limits;
