--- a/src/gateway/quota.cc
+++ b/src/gateway/quota.cc
@@ -62,7 +62,7 @@
   while (at < now) {
     const absl::Duration step = std::min(kFollowedStep, now - at);
     at += step;
-    bucket->tokens.Empty(at);  // Earns what is due.
+    bucket->tokens.IsEmpty(at);  // Earns what is due.
     bucket->unheard.Pass(step,
                          bucket->tokens.level() > bucket->unheard.tokens());
   }
@@ -72,7 +72,7 @@
 void Quotas::Spend(NameHash workspace, double tokens, absl::Time now) {
   const auto found = buckets_.find(workspace);
   if (found == buckets_.end()) return;
-  found->second.tokens.Empty(now);  // Earns what is due first.
+  found->second.tokens.IsEmpty(now);  // Earns what is due first.
   found->second.tokens.Take(tokens);
 }
 
@@ -105,7 +105,7 @@
       kept * AtOnce(bucket.quota) * bucket.part + bucket.unheard.tokens();
   if (bucket.tokens.level() <= least) {
     // No sooner than it is known what the others let through.
-    return std::max(bucket.tokens.UntilFilled(least),
+    return std::max(bucket.tokens.TimeUntilLevel(least),
                     bucket.others.heard_after);
   }
   bucket.tokens.Take(tokens);
--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -85,7 +85,7 @@
   server.End(running.demand, running.first_token, state.now);
   state.power.End(running.server, !running.first_token,
                   running.cancelled.has_value());
-  state.limits.RunsNoMore(running.origin.workspace);
+  state.limits.RemoveRunning(running.origin.workspace);
   if (running.cancelled == WasteCause::kPreempted) --state.preempting;
 }
 
@@ -157,7 +157,7 @@
   }
   const PoolIndex pool = state.servers.FindPool(request.model);
   if (pool == kNoIndex) return;
-  const WorkspaceIndex workspace = state.limits.Number(request.workspace);
+  const WorkspaceIndex workspace = state.limits.IndexOf(request.workspace);
 
   Waiting origin = Describe(state, request, workspace, pool);
   const double cached = std::min<double>(
@@ -182,7 +182,7 @@
     target.FirstToken(running.demand, state.now);
     state.power.FirstToken(server, /*cancelling=*/false);
   }
-  state.limits.Runs(workspace);
+  state.limits.AddRunning(workspace);
   state.cache.Granted(server, running.origin.marks, 0, state.now);
   state.running.Add(std::move(running));
   state.servers.Reindex(server, state.now);
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -226,7 +226,7 @@
   // The turn, the rate and the drain are paid with the estimate; the end of the
   // request corrects the first.
   state_.queue.Charge(waiting);
-  state_.limits.Runs(waiting.workspace);
+  state_.limits.AddRunning(waiting.workspace);
   state_.limits.Charge(waiting.workspace,
                        waiting.request.prompt_tokens + waiting.output.median);
   state_.drains[waiting.pool].Granted(waiting.work, now);
--- a/src/schedule/index.h
+++ b/src/schedule/index.h
@@ -25,10 +25,10 @@
 
 // Interns names: gives each distinct name an index, in the order of first use.
 template <typename Name>
-class Numbering {
+class Interner {
  public:
   // Returns the index of `name`; adds the name if it is new.
-  std::uint32_t Number(const Name& name) {
+  std::uint32_t Intern(const Name& name) {
     const auto next = static_cast<std::uint32_t>(numbers_.size());
     return numbers_.try_emplace(name, next).first->second;
   }
--- a/src/schedule/intake.cc
+++ b/src/schedule/intake.cc
@@ -239,7 +239,7 @@
   }
 
   // Its workspace's limits come first: what is over them delays nobody.
-  const WorkspaceIndex workspace = state.limits.Number(request.workspace);
+  const WorkspaceIndex workspace = state.limits.IndexOf(request.workspace);
   if (RefuseOverLimit(state, request, workspace, pool)) return;
 
   Waiting waiting = Describe(state, request, workspace, pool);
--- a/src/schedule/limits.cc
+++ b/src/schedule/limits.cc
@@ -26,26 +26,26 @@
 
 void TokenBucket::Rescale(double per_second, double capacity, absl::Time now) {
   if (capacity_ <= 0) return SetRate(per_second, capacity, now);
-  Empty(now);  // Adds the tokens earned at the old rate.
+  IsEmpty(now);  // Adds the tokens earned at the old rate.
   if (level_ > 0) level_ *= capacity / capacity_;  // A debt is not scaled.
   rate_ = per_second;
   capacity_ = capacity;
 }
 
-bool TokenBucket::Empty(absl::Time now) {
+bool TokenBucket::IsEmpty(absl::Time now) {
   const double earned = rate_ * absl::ToDoubleSeconds(now - refilled_at_);
   level_ = std::min(capacity_, level_ + earned);
   refilled_at_ = now;
   return level_ <= 0;
 }
 
-absl::Duration TokenBucket::UntilFilled(double level) const {
+absl::Duration TokenBucket::TimeUntilLevel(double level) const {
   if (level_ > level || rate_ <= 0) return absl::ZeroDuration();
   return absl::Seconds((level - level_) / rate_);
 }
 
-WorkspaceIndex WorkspaceLimits::Number(const WorkspaceId& id) {
-  const WorkspaceIndex index = ids_.Number(id);
+WorkspaceIndex WorkspaceLimits::IndexOf(const WorkspaceId& id) {
+  const WorkspaceIndex index = ids_.Intern(id);
   if (index == states_.size()) {
     states_.emplace_back();
     states_[index].spec.id = id;
@@ -56,7 +56,7 @@
 void WorkspaceLimits::Configure(const std::vector<WorkspaceSpec>& specs,
                                 absl::Time now) {
   for (const WorkspaceSpec& spec : specs) {
-    State& state = states_[Number(spec.id)];
+    State& state = states_[IndexOf(spec.id)];
     state.spec = spec;
     state.tokens.SetRate(spec.tokens_per_second,
                          spec.tokens_per_second * kBurstSeconds, now);
@@ -72,8 +72,8 @@
                                                   absl::Time now) {
   State& state = states_[workspace];
   const WorkspaceSpec& spec = state.spec;
-  if (spec.tokens_per_second > 0 && state.tokens.Empty(now)) {
-    return LimitBreach{Code::kRateLimited, state.tokens.UntilFilled()};
+  if (spec.tokens_per_second > 0 && state.tokens.IsEmpty(now)) {
+    return LimitBreach{Code::kRateLimited, state.tokens.TimeUntilLevel()};
   }
   const int in_flight = state.waiting + state.running;
   if (spec.max_concurrent > 0 && in_flight >= spec.max_concurrent) {
@@ -86,13 +86,14 @@
   return std::nullopt;
 }
 
-void WorkspaceLimits::Waits(WorkspaceIndex workspace, const Request& request) {
+void WorkspaceLimits::AddWaiting(WorkspaceIndex workspace,
+                                 const Request& request) {
   ++states_[workspace].waiting;
   states_[workspace].waiting_bytes += request.body_bytes;
 }
 
-void WorkspaceLimits::WaitsNoMore(WorkspaceIndex workspace,
-                                  const Request& request) {
+void WorkspaceLimits::RemoveWaiting(WorkspaceIndex workspace,
+                                    const Request& request) {
   --states_[workspace].waiting;
   states_[workspace].waiting_bytes -= request.body_bytes;
 }
--- a/src/schedule/limits.h
+++ b/src/schedule/limits.h
@@ -26,12 +26,12 @@
   // frequent rate changes do not refill the bucket. Keeps a negative level.
   void Rescale(double per_second, double capacity, absl::Time now);
   // Adds the tokens earned until `now`. Returns whether the level is 0 or less.
-  bool Empty(absl::Time now);
+  bool IsEmpty(absl::Time now);
   // Removes `tokens`; the level may become negative.
   void Take(double tokens) { level_ -= tokens; }
   // Returns the time until the bucket holds `level` tokens; zero if it holds
   // more or the rate is 0.
-  absl::Duration UntilFilled(double level = 0) const;
+  absl::Duration TimeUntilLevel(double level = 0) const;
   double level() const { return level_; }
 
  private:
@@ -53,7 +53,7 @@
 class WorkspaceLimits {
  public:
   // Returns the index of a workspace; adds it with default limits if it is new.
-  WorkspaceIndex Number(const WorkspaceId& id);
+  WorkspaceIndex IndexOf(const WorkspaceId& id);
   void Configure(const std::vector<WorkspaceSpec>& specs, absl::Time now);
 
   // Returns the fair-queueing weight, which is always positive.
@@ -64,10 +64,10 @@
   std::optional<LimitBreach> Check(WorkspaceIndex workspace,
                                    const Request& request, absl::Time now);
 
-  void Waits(WorkspaceIndex workspace, const Request& request);
-  void WaitsNoMore(WorkspaceIndex workspace, const Request& request);
-  void Runs(WorkspaceIndex workspace) { ++states_[workspace].running; }
-  void RunsNoMore(WorkspaceIndex workspace) { --states_[workspace].running; }
+  void AddWaiting(WorkspaceIndex workspace, const Request& request);
+  void RemoveWaiting(WorkspaceIndex workspace, const Request& request);
+  void AddRunning(WorkspaceIndex workspace) { ++states_[workspace].running; }
+  void RemoveRunning(WorkspaceIndex workspace) { --states_[workspace].running; }
   // Takes `tokens` from the workspace's token bucket.
   void Charge(WorkspaceIndex workspace, double tokens);
 
@@ -80,7 +80,7 @@
     int running = 0;
   };
 
-  Numbering<WorkspaceId> ids_;
+  Interner<WorkspaceId> ids_;
   std::vector<State> states_;
 };
 
--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -274,17 +274,17 @@
   spec.max_concurrent = 2;
   spec.max_waiting_bytes = 100;
   limits.Configure({spec}, At(0));
-  const WorkspaceIndex a = limits.Number(spec.id);
+  const WorkspaceIndex a = limits.IndexOf(spec.id);
   Request request;
   request.body_bytes = 60;
   BOOST_TEST(!limits.Check(a, request, At(0)).has_value());
-  limits.Waits(a, request);
+  limits.AddWaiting(a, request);
   BOOST_TEST(
       (limits.Check(a, request, At(0))->code == Code::kWorkspaceQueueFull));
-  limits.Runs(a);
+  limits.AddRunning(a);
   BOOST_TEST((limits.Check(a, request, At(0))->code == Code::kRateLimited));
-  limits.WaitsNoMore(a, request);
-  limits.RunsNoMore(a);
+  limits.RemoveWaiting(a, request);
+  limits.RemoveRunning(a);
   limits.Charge(a, 150);  // The bucket of 100 tokens becomes negative.
   const auto breach = limits.Check(a, request, At(0));
   BOOST_TEST((breach->retry_after == absl::Seconds(5)));
@@ -302,7 +302,7 @@
   bucket.Take(50);
   bucket.Rescale(10, 100, At(0));
   BOOST_TEST(bucket.level() == -30);  // A debt is not scaled.
-  BOOST_TEST((bucket.UntilFilled() == absl::Seconds(3)));
+  BOOST_TEST((bucket.TimeUntilLevel() == absl::Seconds(3)));
 }
 
 // Some calls fail on any server, and a single failure must not close it. A
--- a/src/schedule/server_set.cc
+++ b/src/schedule/server_set.cc
@@ -43,7 +43,7 @@
   for (Pool& pool : pools_) pool.servers.clear();
   std::vector<ServerIndex> configured;
   for (const ServerSpec& spec : specs) {
-    const ServerIndex server = server_ids_.Number(spec.id);
+    const ServerIndex server = server_ids_.Intern(spec.id);
     if (server == servers_.size()) {
       servers_.emplace_back(spec);
       entries_.emplace_back();
@@ -61,7 +61,7 @@
 }
 
 PoolIndex ServerSet::FindOrAddPool(const ModelId& model) {
-  const PoolIndex index = models_.Number(model);
+  const PoolIndex index = models_.Intern(model);
   if (index == pools_.size()) pools_.push_back(Pool{.model = model});
   return index;
 }
--- a/src/schedule/server_set.h
+++ b/src/schedule/server_set.h
@@ -91,8 +91,8 @@
   // entry's key by at most the tolerance and nothing else changed.
   bool KeepsPlace(ServerIndex server, double key) const;
 
-  Numbering<ServerId> server_ids_;
-  Numbering<ModelId> models_;
+  Interner<ServerId> server_ids_;
+  Interner<ModelId> models_;
   std::deque<Server> servers_;
   std::vector<IndexEntry> entries_;
   std::vector<Pool> pools_;
--- a/src/schedule/state.cc
+++ b/src/schedule/state.cc
@@ -28,7 +28,7 @@
 }
 
 void AddWaiting(State& state, Waiting waiting) {
-  state.limits.Waits(waiting.workspace, waiting.request);
+  state.limits.AddWaiting(waiting.workspace, waiting.request);
   const LaneKey lane{waiting.request.tier, waiting.pool};
   const RequestId id = waiting.request.id;
   const WaitIndex index = state.queue.Add(std::move(waiting));
@@ -43,7 +43,7 @@
 Waiting RemoveWaiting(State& state, WaitIndex index) {
   Waiting waiting = state.queue.Remove(index);
   state.waiting_by_id.erase(waiting.request.id);
-  state.limits.WaitsNoMore(waiting.workspace, waiting.request);
+  state.limits.RemoveWaiting(waiting.workspace, waiting.request);
   if (state.queue.PoolSize(waiting.pool) == 0) {
     state.drains[waiting.pool].SetBacklog(false, state.now);
   }
