--- a/src/entry/dispatch_board.cc
+++ b/src/entry/dispatch_board.cc
@@ -60,7 +60,7 @@
     schedule::DispatcherOptions options;
     options.weights = config_->configuration().weights;
     options.seed = SeedOf(domain);
-    options.initial_watts = 0;  // The share follows at once.
+    options.initial_share_watts = 0;  // The share follows at once.
     locals_[domain] = {std::make_unique<schedule::Dispatcher>(options), {}};
     ConfigureLocal(domain, now);
   }
--- a/src/entry/entry_host_rpc.cc
+++ b/src/entry/entry_host_rpc.cc
@@ -12,7 +12,7 @@
 namespace {
 
 // In the order of schedule::WasteCause.
-constexpr std::array<std::string_view, schedule::kWasteCauses>
+constexpr std::array<std::string_view, schedule::kNumWasteCauses>
     kWasteCauseNames = {"caller-gone", "deadline-missed", "power-share",
                         "preempted", "server-broke"};
 
@@ -205,7 +205,7 @@
   set("inversions", "Refusals of a tier while a lower one waited",
       static_cast<double>(counters.inversions));
   set("prefill_tokens", "Prompt tokens computed", counters.prefill_computed);
-  for (std::size_t i = 0; i < schedule::kWasteCauses; ++i) {
+  for (std::size_t i = 0; i < schedule::kNumWasteCauses; ++i) {
     prometheus::Labels by_cause = labels;
     by_cause["cause"] = std::string(kWasteCauseNames[i]);
     metrics_.Set("gentianlb_dispatcher_prefill_wasted_tokens",
--- a/src/gateway/fake_site_test.h
+++ b/src/gateway/fake_site_test.h
@@ -91,7 +91,7 @@
     };
     ForwarderOptions options;
     options.host = EntryHostId("h");
-    options.queue.dispatcher.preempts = false;
+    options.queue.dispatcher.allow_preemption = false;
     options.retry_burst = 3;
     forwarder = std::make_unique<Forwarder>(
         options, port, &timers, [this] { return now; }, &directory, &demand,
--- a/src/gateway/group_site_test.h
+++ b/src/gateway/group_site_test.h
@@ -87,7 +87,7 @@
       self->deferred.push_back(std::move(closure));
     };
     ServiceQueueOptions options;
-    options.dispatcher.preempts = false;
+    options.dispatcher.allow_preemption = false;
     options.host = host.id;
     host.link = std::make_unique<GroupLink>(
         host.id, options, &timers, [this] { return now; }, std::move(hooks));
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -37,8 +37,8 @@
   options.queue.host = settings.id;
   options.limit_tolerance_tokens = settings.limit_tolerance_tokens;
   options.queue.dispatcher.seed = SeedOf(settings);
-  options.queue.dispatcher.preempts = false;
-  options.queue.dispatcher.shortest_come_back = absl::Milliseconds(300);
+  options.queue.dispatcher.allow_preemption = false;
+  options.queue.dispatcher.min_retry_after = absl::Milliseconds(300);
   options.queue.retries.retries_per_call =
       kRetryMargin * settings.retries_per_request;
   options.retry_burst = settings.retry_burst;
--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -137,7 +137,7 @@
   if (event.kind == EndKind::kComplete) return;
   const WasteCause unasked = event.kind == EndKind::kBroken
                                  ? WasteCause::kServerBroke
-                                 : WasteCause::kCallerGone;
+                                 : WasteCause::kCallerDisconnected;
   const WasteCause cause = running.cancelled.value_or(unasked);
   state.counters.prefill_wasted[static_cast<std::size_t>(cause)] += prefill;
 }
@@ -264,7 +264,7 @@
     if (index == kNoIndex) return;
     const Running& running = state.running.Get(index);
     Server& server = state.servers.at(running.server);
-    ++state.counters.silences;
+    ++state.counters.overdue_first_tokens;
     // It has taken at least this long.
     const absl::Duration silent = state.now - running.granted;
     const double seconds = absl::ToDoubleSeconds(silent);
--- a/src/schedule/counters.h
+++ b/src/schedule/counters.h
@@ -16,13 +16,13 @@
 
 // Why prompt work that was already computed was wasted.
 enum class WasteCause {
-  kCallerGone,
+  kCallerDisconnected,
   kDeadlineMissed,
   kPowerShare,  // The dispatcher's power share was reduced.
   kPreempted,   // Cancelled in favour of a request of a higher tier.
   kServerBroke,
 };
-inline constexpr std::size_t kWasteCauses = 5;
+inline constexpr std::size_t kNumWasteCauses = 5;
 
 struct Counters {
   std::uint64_t events = 0;
@@ -37,14 +37,15 @@
   // request of a lower tier was waiting. Expected to stay 0.
   std::uint64_t inversions = 0;
   double prefill_computed = 0;  // Tokens, predicted or reported.
-  std::array<double, kWasteCauses> prefill_wasted{};  // Tokens, by WasteCause.
+  std::array<double, kNumWasteCauses>
+      prefill_wasted{};              // Tokens, by WasteCause.
   std::uint64_t shed_by_server = 0;  // Rejected by a full server.
   std::uint64_t window_cuts = 0;     // Reductions of a concurrency window.
-  std::uint64_t silences = 0;        // First tokens found overdue.
+  std::uint64_t overdue_first_tokens = 0;  // First tokens found overdue.
   bool operator==(const Counters&) const = default;
 
   // Returns the prompt tokens wasted for `cause`.
-  double Wasted(WasteCause cause) const {
+  double WastedPrefill(WasteCause cause) const {
     return prefill_wasted[static_cast<std::size_t>(cause)];
   }
 };
--- a/src/schedule/dispatcher.cc
+++ b/src/schedule/dispatcher.cc
@@ -52,7 +52,7 @@
   const Running& running = state.running.Get(index);
   // A begun call of a plain service can't be stopped; it runs to its end.
   if (running.cancelled || running.demand.plain) return;
-  CancelRunning(state, index, WasteCause::kCallerGone);
+  CancelRunning(state, index, WasteCause::kCallerDisconnected);
 }
 
 // News of one server's load, told to it by `Learn`.
--- a/src/schedule/dispatcher_test.cc
+++ b/src/schedule/dispatcher_test.cc
@@ -112,7 +112,7 @@
     site.Run(absl::Milliseconds(100));
   }
   BOOST_TEST(site.dispatcher.window(hung) <= 2);
-  BOOST_TEST(site.dispatcher.counters().silences > 0u);
+  BOOST_TEST(site.dispatcher.counters().overdue_first_tokens > 0u);
   BOOST_TEST(site.RunningOn(hung) <= 8);
 }
 
@@ -124,7 +124,7 @@
   site.Send("draft", 0, absl::Minutes(5), 30000, 60);
   site.Run(absl::Seconds(20));
   BOOST_TEST(site.InTime("draft") == 1);
-  BOOST_TEST(site.dispatcher.counters().silences == 0u);
+  BOOST_TEST(site.dispatcher.counters().overdue_first_tokens == 0u);
   BOOST_TEST(site.dispatcher.window(ServerId("server-0")) == 8);
 }
 
@@ -204,7 +204,8 @@
   BOOST_TEST(site.Count(Kind::kCancelled, 0) == 0);
   BOOST_TEST(site.dispatcher.worst_watts() <= 330);
   BOOST_TEST(!site.overdrawn);
-  BOOST_TEST(site.dispatcher.counters().Wasted(WasteCause::kPowerShare) > 0);
+  BOOST_TEST(site.dispatcher.counters().WastedPrefill(WasteCause::kPowerShare) >
+             0);
   site.Run(absl::Minutes(1));
   BOOST_TEST(site.InTime("chat") == 6);
 }
@@ -317,8 +318,8 @@
   site.Tell(CallerGone{id});
   site.Run(FakeSite::kStep);
   BOOST_TEST(site.idle());
-  BOOST_TEST(site.dispatcher.counters().Wasted(WasteCause::kCallerGone) ==
-             1000);
+  BOOST_TEST(site.dispatcher.counters().WastedPrefill(
+                 WasteCause::kCallerDisconnected) == 1000);
 }
 
 // What two deployments weigh differently shows in what they throw away and in
@@ -337,8 +338,8 @@
     }
     site.Run(absl::Minutes(2));
     const Counters& counters = site.dispatcher.counters();
-    const double wasted = counters.Wasted(WasteCause::kDeadlineMissed) +
-                          counters.Wasted(WasteCause::kPreempted);
+    const double wasted = counters.WastedPrefill(WasteCause::kDeadlineMissed) +
+                          counters.WastedPrefill(WasteCause::kPreempted);
     return std::pair(site.InTime("batch") + site.InTime("chat"),
                      wasted / counters.prefill_computed);
   };
--- a/src/schedule/options.h
+++ b/src/schedule/options.h
@@ -22,12 +22,12 @@
   // Power share in watts until the first PowerShareChanged. With 0, the
   // dispatcher grants nothing that draws power before that event, so a power
   // cap holds from the start.
-  double initial_watts = std::numeric_limits<double>::infinity();
+  double initial_share_watts = std::numeric_limits<double>::infinity();
   // Whether a running request may be cancelled in favour of a more urgent one.
   // Disabled where a cancelled caller would lose its whole response.
-  bool preempts = true;
+  bool allow_preemption = true;
   // Minimum retry-after time sent to a refused caller.
-  absl::Duration shortest_come_back = absl::Seconds(1);
+  absl::Duration min_retry_after = absl::Seconds(1);
   bool operator==(const DispatcherOptions&) const = default;
 };
 
--- a/src/schedule/preempt.cc
+++ b/src/schedule/preempt.cc
@@ -68,7 +68,7 @@
 
 void Preempt(State& state, WaitIndex index, bool for_power) {
   const Waiting& waiting = state.queue.Get(index);
-  if (!state.options.preempts || state.now < waiting.urgent_at) return;
+  if (!state.options.allow_preemption || state.now < waiting.urgent_at) return;
   if (state.preempting >= kMaxPreempting) return;
   const RunIndex victim = state.running.FirstVictim(
       waiting.request.tier.rank, kPreemptTried, [&](const Running& running) {
--- a/src/schedule/state.h
+++ b/src/schedule/state.h
@@ -50,8 +50,8 @@
 
 struct State {
   explicit State(const DispatcherOptions& chosen)
-      : options(chosen), come_back(chosen.seed, chosen.shortest_come_back) {
-    power.SetShare(chosen.initial_watts);
+      : options(chosen), come_back(chosen.seed, chosen.min_retry_after) {
+    power.SetShare(chosen.initial_share_watts);
   }
 
   DispatcherOptions options;
