--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -67,11 +67,11 @@
 // An answer that outgrows its estimate needs more memory than was reserved.
 void CorrectMemory(State& state, RunIndex index, int tokens) {
   const Running& running = state.running.Get(index);
-  if (tokens < running.origin.output.high || running.demand.plain) return;
+  if (tokens < running.origin.output.p90 || running.demand.plain) return;
   const Request& request = running.origin.request;
   const OutputEstimate output =
-      Corrected(running.origin.output, tokens, request.max_output_tokens);
-  const std::int64_t needed = request.prompt_tokens + output.high;
+      CorrectEstimate(running.origin.output, tokens, request.max_output_tokens);
+  const std::int64_t needed = request.prompt_tokens + output.p90;
   if (needed <= running.demand.kv_tokens) return;
   state.servers.at(running.server).AddMemory(needed - running.demand.kv_tokens);
   Demand demand = running.demand;
@@ -166,7 +166,7 @@
   Demand demand;
   demand.plain = request.model.empty();
   demand.output_tokens = origin.output.median;
-  demand.kv_tokens = request.prompt_tokens + origin.output.high;
+  demand.kv_tokens = request.prompt_tokens + origin.output.p90;
   demand.prefill_tokens =
       event.just_sent ? request.prompt_tokens - cached : request.prompt_tokens;
   Running running = BeginOn(state, std::move(origin), server, demand, cached);
--- a/src/schedule/intake.cc
+++ b/src/schedule/intake.cc
@@ -204,8 +204,8 @@
   waiting.work = WorkOf(request.prompt_tokens, waiting.output.median);
   // Hopeless is what could not finish even with a short answer; urgent what
   // needs its turn now if its answer is as long as usual.
-  waiting.best_service = absl::Seconds(
-      BestServiceSeconds(state, waiting, HopefulOutput(waiting.output)));
+  waiting.best_service = absl::Seconds(BestServiceSeconds(
+      state, waiting, OptimisticOutputTokens(waiting.output)));
   const absl::Duration usual =
       absl::Seconds(BestServiceSeconds(state, waiting, waiting.output.median));
   // A prompt so long that no server could be in time, also alone, has only its
--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -4,8 +4,8 @@
 #include <set>
 
 #include "base/retry.h"
-#include "schedule/estimate.h"
 #include "schedule/limits.h"
+#include "schedule/output_estimator.h"
 #include "schedule/power.h"
 #include "schedule/prefix_cache.h"
 #include "schedule/refuse.h"
@@ -40,16 +40,16 @@
   const OutputEstimate learnt = estimator.Estimate(draft, 1);
   BOOST_TEST(learnt.median > 950);
   BOOST_TEST(learnt.median < 1050);
-  BOOST_TEST(learnt.high > 1050);
-  BOOST_TEST(estimator.Estimate(tag, 1).high == 4);
+  BOOST_TEST(learnt.p90 > 1050);
+  BOOST_TEST(estimator.Estimate(tag, 1).p90 == 4);
 }
 
 BOOST_AUTO_TEST_CASE(StreamedTokensCorrectTheEstimate) {
   const OutputEstimate estimate{100, 300};
-  BOOST_TEST(Corrected(estimate, 50, 0).median == 100);
-  BOOST_TEST(Corrected(estimate, 150, 0).median == 300);
-  BOOST_TEST(Corrected(estimate, 400, 0).median == 600);
-  BOOST_TEST(Corrected(estimate, 400, 450).median == 450);
+  BOOST_TEST(CorrectEstimate(estimate, 50, 0).median == 100);
+  BOOST_TEST(CorrectEstimate(estimate, 150, 0).median == 300);
+  BOOST_TEST(CorrectEstimate(estimate, 400, 0).median == 600);
+  BOOST_TEST(CorrectEstimate(estimate, 400, 450).median == 450);
 }
 
 // --- Window and speed --------------------------------------------------------
--- a/src/schedule/order.h
+++ b/src/schedule/order.h
@@ -25,9 +25,9 @@
 #include "absl/container/btree_set.h"
 #include "absl/container/node_hash_map.h"
 #include "absl/time/time.h"
-#include "schedule/estimate.h"
 #include "schedule/index.h"
 #include "schedule/messages.h"
+#include "schedule/output_estimator.h"
 #include "schedule/prefix_cache.h"
 
 namespace gentianlb::schedule {
--- a/src/schedule/estimate.cc
+++ b/src/schedule/output_estimator.cc
@@ -1,4 +1,4 @@
-#include "schedule/estimate.h"
+#include "schedule/output_estimator.h"
 
 #include <algorithm>
 #include <array>
@@ -23,7 +23,7 @@
 constexpr std::size_t kMaxSketches = 16384;
 
 // Default without any samples: one paragraph, and four times that.
-constexpr OutputEstimate kDefaultEstimate = {.median = 256, .high = 1024};
+constexpr OutputEstimate kDefaultEstimate = {.median = 256, .p90 = 1024};
 
 // Lengths are roughly log-normal: an output that exceeds the 0.9 quantile is
 // expected to end at about 1.5 times its current length.
@@ -43,7 +43,7 @@
 
 OutputEstimate Bounded(const OutputEstimate& estimate, int bound) {
   return {.median = Bounded(estimate.median, bound),
-          .high = Bounded(estimate.high, bound),
+          .p90 = Bounded(estimate.p90, bound),
           .learnt = estimate.learnt};
 }
 
@@ -69,8 +69,8 @@
   if (current_count_ < kMinSamples) return previous_;
   const auto quantiles = boost::accumulators::extended_p_square(current_);
   const int median = Bounded(quantiles[0], 0);
-  const int high = std::max(median, Bounded(quantiles[1], 0));
-  return OutputEstimate{.median = median, .high = high, .learnt = true};
+  const int p90 = std::max(median, Bounded(quantiles[1], 0));
+  return OutputEstimate{.median = median, .p90 = p90, .learnt = true};
 }
 
 OutputEstimator::Key OutputEstimator::KeyOf(const Request& request,
@@ -91,7 +91,7 @@
     constexpr double kHintSpread = 3;
     const int hint = request.expected_output_tokens;
     return Bounded(OutputEstimate{.median = hint,
-                                  .high = Bounded(hint * kHintSpread, 0),
+                                  .p90 = Bounded(hint * kHintSpread, 0),
                                   .learnt = true},
                    bound);
   }
@@ -101,7 +101,7 @@
   }
   // For a new kind of request, the caller's output limit predicts the length
   // better than other requests of the service do.
-  if (bound > 0) return {.median = std::max(1, bound / 2), .high = bound};
+  if (bound > 0) return {.median = std::max(1, bound / 2), .p90 = bound};
   OutputEstimate estimate = service_.Quantiles().value_or(kDefaultEstimate);
   estimate.learnt = false;
   return estimate;
@@ -123,20 +123,20 @@
   return service_.Quantiles().value_or(kDefaultEstimate).median;
 }
 
-double HopefulOutput(const OutputEstimate& estimate) {
+double OptimisticOutputTokens(const OutputEstimate& estimate) {
   return estimate.median *
          (estimate.learnt ? kOptimisticFactor : kOptimisticDefaultFactor);
 }
 
-OutputEstimate Corrected(const OutputEstimate& estimate, int streamed,
-                         int bound) {
+OutputEstimate CorrectEstimate(const OutputEstimate& estimate, int streamed,
+                               int bound) {
   if (streamed < estimate.median) return estimate;
   const int extended =
-      std::max(estimate.high, Bounded(streamed * kOverrunFactor, bound));
-  if (streamed < estimate.high) {
-    return {estimate.high, estimate.high, estimate.learnt};
+      std::max(estimate.p90, Bounded(streamed * kOverrunFactor, bound));
+  if (streamed < estimate.p90) {
+    return {estimate.p90, estimate.p90, estimate.learnt};
   }
-  return Bounded(OutputEstimate{.median = extended, .high = extended}, bound);
+  return Bounded(OutputEstimate{.median = extended, .p90 = extended}, bound);
 }
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/estimate.h
+++ b/src/schedule/output_estimator.h
@@ -11,8 +11,8 @@
 // may send both long drafts and short tags. The tokens already streamed correct
 // the estimate of a running request.
 
-#ifndef GENTIANLB_SCHEDULE_ESTIMATE_H_
-#define GENTIANLB_SCHEDULE_ESTIMATE_H_
+#ifndef GENTIANLB_SCHEDULE_OUTPUT_ESTIMATOR_H_
+#define GENTIANLB_SCHEDULE_OUTPUT_ESTIMATOR_H_
 
 #include <boost/accumulators/accumulators.hpp>
 #include <boost/accumulators/statistics/extended_p_square.hpp>
@@ -30,7 +30,7 @@
 // Estimated number of output tokens of one request.
 struct OutputEstimate {
   int median = 0;
-  int high = 0;  // 0.9 quantile.
+  int p90 = 0;  // 0.9 quantile.
   // True if derived from similar requests or the caller's own estimate; false
   // if it is a default.
   bool learnt = false;
@@ -88,13 +88,13 @@
 
 // Returns an optimistic output length in tokens. A request that would miss its
 // deadline even with this length is not worth starting.
-double HopefulOutput(const OutputEstimate& estimate);
+double OptimisticOutputTokens(const OutputEstimate& estimate);
 
 // Returns `estimate` corrected for `streamed` tokens already received. `bound`
 // is the caller's output limit in tokens; 0 means none.
-OutputEstimate Corrected(const OutputEstimate& estimate, int streamed,
-                         int bound);
+OutputEstimate CorrectEstimate(const OutputEstimate& estimate, int streamed,
+                               int bound);
 
 }  // namespace gentianlb::schedule
 
-#endif  // GENTIANLB_SCHEDULE_ESTIMATE_H_
+#endif  // GENTIANLB_SCHEDULE_OUTPUT_ESTIMATOR_H_
--- a/src/schedule/place.cc
+++ b/src/schedule/place.cc
@@ -110,9 +110,9 @@
 double Placer::AssumedOutputTokens(const Waiting& waiting,
                                    bool contended) const {
   const double median = waiting.output.median;
-  const double spread = waiting.output.high - median;
+  const double spread = waiting.output.p90 - median;
   // A default must not block requests whose responses would provide real data.
-  if (!waiting.output.learnt) return HopefulOutput(waiting.output);
+  if (!waiting.output.learnt) return OptimisticOutputTokens(waiting.output);
   if (weights_.wasted_prefill > weights_.goodput) return median + spread;
   return contended ? median + kContendedSpread * spread : median;
 }
@@ -204,7 +204,7 @@
   Demand demand;
   demand.prefill_tokens = waiting.request.prompt_tokens - cached;
   demand.output_tokens = criteria.output;
-  demand.kv_tokens = waiting.request.prompt_tokens + waiting.output.high;
+  demand.kv_tokens = waiting.request.prompt_tokens + waiting.output.p90;
   demand.plain = waiting.request.model.empty();
 
   if (!server.MemoryFits(demand.kv_tokens) ||
@@ -230,7 +230,7 @@
   double finish = server.FinishSeconds(demand, criteria.now);
   if (criteria.optimistic) {
     Demand optimistic = demand;
-    optimistic.output_tokens = HopefulOutput(waiting.output);
+    optimistic.output_tokens = OptimisticOutputTokens(waiting.output);
     finish = server.FinishSeconds(optimistic, criteria.now);
   }
   const bool probe = server.window.probing();
--- a/src/schedule/preempt.cc
+++ b/src/schedule/preempt.cc
@@ -54,8 +54,8 @@
     if (request.deadline > state.now) return;
     // What is nearly done costs others little and throws nothing away.
     const OutputEstimate output =
-        Corrected(running.origin.output, running.output_tokens,
-                  request.max_output_tokens);
+        CorrectEstimate(running.origin.output, running.output_tokens,
+                        request.max_output_tokens);
     const double remaining = output.median - running.output_tokens;
     const double thrown = ComputedPrefill(running, state.now);
     if (WorthIt(state.options.weights, remaining, thrown)) {
