--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -49,7 +49,7 @@
   }
   // Its prompt is computed: prompt room and watts are free for others.
   server.FirstToken(running.demand, state.now);
-  state.power.FirstToken(running.server, running.cancelled.has_value());
+  state.power.OnFirstToken(running.server, running.cancelled.has_value());
   state.running.SetFirstToken(index);
   Judge(state, server, server.running(), slow);
 }
@@ -83,8 +83,8 @@
 void Release(State& state, const Running& running) {
   Server& server = state.servers.at(running.server);
   server.End(running.demand, running.first_token, state.now);
-  state.power.End(running.server, !running.first_token,
-                  running.cancelled.has_value());
+  state.power.RemoveStream(running.server, !running.first_token,
+                           running.cancelled.has_value());
   state.limits.RemoveRunning(running.origin.workspace);
   if (running.cancelled == WasteCause::kPreempted) --state.preempting;
 }
@@ -177,10 +177,10 @@
 
   Server& target = state.servers.at(server);
   target.Begin(running.demand, state.now);
-  state.power.Begin(server, /*prefilling=*/true);
+  state.power.AddStream(server, /*prefilling=*/true);
   if (running.first_token) {
     target.FirstToken(running.demand, state.now);
-    state.power.FirstToken(server, /*cancelling=*/false);
+    state.power.OnFirstToken(server, /*cancelling=*/false);
   }
   state.limits.AddRunning(workspace);
   state.cache.Granted(server, running.origin.marks, 0, state.now);
--- a/src/schedule/dispatcher.cc
+++ b/src/schedule/dispatcher.cc
@@ -169,8 +169,10 @@
   return state_->signature.value();
 }
 
-double Dispatcher::worst_watts() const { return state_->power.watts(); }
-double Dispatcher::share_watts() const { return state_->power.share(); }
+double Dispatcher::worst_watts() const {
+  return state_->power.worst_case_watts();
+}
+double Dispatcher::share_watts() const { return state_->power.share_watts(); }
 
 int Dispatcher::FreeStreams() const {
   int free = 0;
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -235,7 +235,7 @@
                             demand, placement.cached_tokens);
   const Waiting& origin = running.origin;
   server.Begin(demand, now);
-  state_.power.Begin(placement.server, /*prefilling=*/true);
+  state_.power.AddStream(placement.server, /*prefilling=*/true);
   state_.cache.Granted(placement.server, origin.marks,
                        demand.prefill_tokens + origin.output.median, now);
   const schedule::Grant decision{origin.request.id, origin.request.host,
--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -6,7 +6,7 @@
 #include "base/retry.h"
 #include "schedule/limits.h"
 #include "schedule/output_estimator.h"
-#include "schedule/power.h"
+#include "schedule/power_ledger.h"
 #include "schedule/prefix_cache.h"
 #include "schedule/refuse.h"
 #include "schedule/server.h"
@@ -124,24 +124,25 @@
   PowerLedger ledger;
   ledger.SetServer(0, spec, true);
   ledger.SetShare(225);
-  BOOST_TEST(ledger.watts() == 100);
-  ledger.Begin(0, true);
-  BOOST_TEST(ledger.watts() == 210);
+  BOOST_TEST(ledger.worst_case_watts() == 100);
+  ledger.AddStream(0, true);
+  BOOST_TEST(ledger.worst_case_watts() == 210);
   BOOST_TEST(ledger.Fits(0, 0));
-  ledger.Begin(0, true);  // Prompts are computed one after the other.
-  BOOST_TEST(ledger.watts() == 220);
+  ledger.AddStream(0, true);  // Prompts are computed one after the other.
+  BOOST_TEST(ledger.worst_case_watts() == 220);
   BOOST_TEST(!ledger.Fits(0, 0));
   ledger.SetShare(215);
   BOOST_TEST(ledger.MustCancel());
-  ledger.Cancelling(0, true);
+  ledger.OnCancel(0, true);
   BOOST_TEST(!ledger.MustCancel());
-  BOOST_TEST(ledger.watts() == 220);  // The request may still be running.
+  BOOST_TEST(ledger.worst_case_watts() ==
+             220);  // The request may still be running.
   BOOST_TEST(!ledger.Fits(0, 0));
-  ledger.End(0, true, true);
-  ledger.FirstToken(0, false);
-  BOOST_TEST(ledger.watts() == 110);
-  ledger.End(0, false, false);
-  BOOST_TEST(ledger.watts() == 100);
+  ledger.RemoveStream(0, true, true);
+  ledger.OnFirstToken(0, false);
+  BOOST_TEST(ledger.worst_case_watts() == 110);
+  ledger.RemoveStream(0, false, false);
+  BOOST_TEST(ledger.worst_case_watts() == 100);
 }
 
 // Short prompts wait 100 ms for a slot of a busy engine. If that wait counted
--- a/src/schedule/place.h
+++ b/src/schedule/place.h
@@ -18,7 +18,7 @@
 #include "absl/time/time.h"
 #include "schedule/index.h"
 #include "schedule/order.h"
-#include "schedule/power.h"
+#include "schedule/power_ledger.h"
 #include "schedule/prefix_cache.h"
 #include "schedule/server_set.h"
 
--- a/src/schedule/power.cc
+++ b/src/schedule/power_ledger.cc
@@ -1,4 +1,4 @@
-#include "schedule/power.h"
+#include "schedule/power_ledger.h"
 
 #include <algorithm>
 #include <cmath>
@@ -33,28 +33,29 @@
       std::floor(std::clamp(watts, 0.0, kMaxWatts) * kMilliwattsPerWatt));
 }
 
-void PowerLedger::Begin(ServerIndex server, bool prefilling) {
+void PowerLedger::AddStream(ServerIndex server, bool prefilling) {
   Update(server, [&](Draw& draw) {
     ++draw.streams;
     if (prefilling) ++draw.prefilling;
   });
 }
 
-void PowerLedger::FirstToken(ServerIndex server, bool cancelling) {
+void PowerLedger::OnFirstToken(ServerIndex server, bool cancelling) {
   Update(server, [&](Draw& draw) {
     --draw.prefilling;
     if (cancelling) --draw.cancelling_prefill;
   });
 }
 
-void PowerLedger::Cancelling(ServerIndex server, bool prefilling) {
+void PowerLedger::OnCancel(ServerIndex server, bool prefilling) {
   Update(server, [&](Draw& draw) {
     ++draw.cancelling;
     if (prefilling) ++draw.cancelling_prefill;
   });
 }
 
-void PowerLedger::End(ServerIndex server, bool prefilling, bool cancelling) {
+void PowerLedger::RemoveStream(ServerIndex server, bool prefilling,
+                               bool cancelling) {
   Update(server, [&](Draw& draw) {
     --draw.streams;
     if (prefilling) --draw.prefilling;
--- a/src/schedule/power.h
+++ b/src/schedule/power_ledger.h
@@ -15,8 +15,8 @@
 // rounding errors of floating-point sums would accumulate over days and violate
 // the bound.
 
-#ifndef GENTIANLB_SCHEDULE_POWER_H_
-#define GENTIANLB_SCHEDULE_POWER_H_
+#ifndef GENTIANLB_SCHEDULE_POWER_LEDGER_H_
+#define GENTIANLB_SCHEDULE_POWER_LEDGER_H_
 
 #include <cstdint>
 #include <vector>
@@ -36,24 +36,24 @@
   void SetShare(double watts);
 
   // Adds a stream. `prefilling`, here and below: it has no first token yet.
-  void Begin(ServerIndex server, bool prefilling);
+  void AddStream(ServerIndex server, bool prefilling);
   // Records the first token of a stream. `cancelling`, here and below: the
   // stream is being cancelled.
-  void FirstToken(ServerIndex server, bool cancelling);
+  void OnFirstToken(ServerIndex server, bool cancelling);
   // Records that a stream is being cancelled. It counts until it is removed.
-  void Cancelling(ServerIndex server, bool prefilling);
+  void OnCancel(ServerIndex server, bool prefilling);
   // Removes a stream.
-  void End(ServerIndex server, bool prefilling, bool cancelling);
+  void RemoveStream(ServerIndex server, bool prefilling, bool cancelling);
 
   // Returns whether one more request on `server` stays within the share minus
   // `reserve`, a fraction of the share above idle power.
   bool Fits(ServerIndex server, double reserve) const;
 
   // Returns the worst-case power of all servers.
-  double watts() const {
+  double worst_case_watts() const {
     return static_cast<double>(worst_case_) / kMilliwattsPerWatt;
   }
-  double share() const {
+  double share_watts() const {
     return static_cast<double>(share_) / kMilliwattsPerWatt;
   }
 
@@ -94,4 +94,4 @@
 
 }  // namespace gentianlb::schedule
 
-#endif  // GENTIANLB_SCHEDULE_POWER_H_
+#endif  // GENTIANLB_SCHEDULE_POWER_LEDGER_H_
--- a/src/schedule/state.cc
+++ b/src/schedule/state.cc
@@ -75,7 +75,7 @@
   const Running& running = state.running.Get(index);
   const Request& request = running.origin.request;
   const LaneKey lane{request.tier, running.origin.pool};
-  state.power.Cancelling(running.server, !running.first_token);
+  state.power.OnCancel(running.server, !running.first_token);
   state.running.SetCancelled(index, cause);
   if (cause == WasteCause::kPreempted) ++state.preempting;
   Emit(state, Cancel{request.id, request.host, Code::kCancelledRunning,
--- a/src/schedule/state.h
+++ b/src/schedule/state.h
@@ -18,7 +18,7 @@
 #include "schedule/options.h"
 #include "schedule/order.h"
 #include "schedule/output_estimator.h"
-#include "schedule/power.h"
+#include "schedule/power_ledger.h"
 #include "schedule/prefix_cache.h"
 #include "schedule/refuse.h"
 #include "schedule/running.h"
