--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -110,8 +110,8 @@
   state.estimator.Learn(origin.request, origin.workspace, event.output_tokens);
   // Engines that don't report cached tokens say 0: nothing to learn from.
   if (event.cached_prompt_tokens > 0) {
-    state.cache.Reported(running.server, running.cached_tokens,
-                         event.cached_prompt_tokens);
+    state.cache.OnCachedTokensReported(running.server, running.cached_tokens,
+                                       event.cached_prompt_tokens);
   }
   // The workspace pays for what it got, not for what was expected.
   const double actual =
@@ -183,7 +183,7 @@
     state.power.OnFirstToken(server, /*cancelling=*/false);
   }
   state.limits.AddRunning(workspace);
-  state.cache.Granted(server, running.origin.marks, 0, state.now);
+  state.cache.OnGrant(server, running.origin.marks, 0, state.now);
   state.running.Add(std::move(running));
   state.servers.Reindex(server, state.now);
 }
--- a/src/schedule/dispatcher.cc
+++ b/src/schedule/dispatcher.cc
@@ -91,7 +91,7 @@
   void operator()(const PaceElsewhere& event) { LearnPace(state, event); }
   void operator()(const CacheChanged& event) {
     const ServerIndex server = state.servers.Find(event.server);
-    if (server != kNoIndex) state.cache.Changed(server, event, state.now);
+    if (server != kNoIndex) state.cache.OnCacheEvent(server, event, state.now);
   }
   void operator()(const ServerHealthChanged& event) {
     ChangeHealth(state, event);
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -236,7 +236,7 @@
   const Waiting& origin = running.origin;
   server.Begin(demand, now);
   state_.power.AddStream(placement.server, /*prefilling=*/true);
-  state_.cache.Granted(placement.server, origin.marks,
+  state_.cache.OnGrant(placement.server, origin.marks,
                        demand.prefill_tokens + origin.output.median, now);
   const schedule::Grant decision{origin.request.id, origin.request.host,
                                  server.spec.id};
--- a/src/schedule/intake.cc
+++ b/src/schedule/intake.cc
@@ -31,7 +31,7 @@
                           double output) {
   if (waiting.request.model.empty()) return 0;
   const Pool& pool = state.servers.pool(waiting.pool);
-  const PrefixCache::Lookup lookup = state.cache.Find(waiting.marks);
+  const PrefixCacheTracker::Lookup lookup = state.cache.Find(waiting.marks);
   std::vector<ServerIndex> holders;
   lookup.DeepestHolders(1, &holders);
   const double cached =
@@ -189,7 +189,7 @@
   Waiting waiting;
   waiting.request = request;
   waiting.marks =
-      request.parts.empty() ? MarksOf(request.prefix) : request.parts;
+      request.parts.empty() ? MakePrefixMarks(request.prefix) : request.parts;
   waiting.request.prefix = {};  // The marks are enough, and far smaller.
   waiting.request.parts = {};
   waiting.avoid = state.servers.Find(request.avoid);
--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -7,7 +7,7 @@
 #include "schedule/limits.h"
 #include "schedule/output_estimator.h"
 #include "schedule/power_ledger.h"
-#include "schedule/prefix_cache.h"
+#include "schedule/prefix_cache_tracker.h"
 #include "schedule/refuse.h"
 #include "schedule/server.h"
 #include "schedule/signature.h"
@@ -198,18 +198,18 @@
   double Cached(ServerIndex server, double at) const {
     return cache.Find(marks).CachedTokens(server, At(at));
   }
-  PrefixCache cache;
-  std::vector<PrefixMark> marks = MarksOf(Chain(100));
+  PrefixCacheTracker cache;
+  std::vector<PrefixMark> marks = MakePrefixMarks(Chain(100));
 };
 
 BOOST_AUTO_TEST_CASE(EntriesOfOwnGrantsExpireWithAge) {
   PrefixCacheFixture fixture;
-  fixture.cache.Granted(0, fixture.marks, 6400, At(1));
+  fixture.cache.OnGrant(0, fixture.marks, 6400, At(1));
   BOOST_TEST(fixture.Cached(0, 1) == 6400);
   BOOST_TEST(fixture.Cached(1, 1) == 0);
   BOOST_TEST(fixture.Cached(0, 300) < 4000);
   // Other prompts replace half of the cache.
-  fixture.cache.Granted(0, {}, 32000, At(1));
+  fixture.cache.OnGrant(0, {}, 32000, At(1));
   BOOST_TEST(fixture.Cached(0, 1) == 3200);
 }
 
@@ -217,14 +217,14 @@
 // would be sent to servers that have evicted the blocks.
 BOOST_AUTO_TEST_CASE(LostEventsReduceTheCachedProbability) {
   PrefixCacheFixture fixture;
-  fixture.cache.Changed(0, {.sequence = 1, .added = Chain(100)}, At(1));
+  fixture.cache.OnCacheEvent(0, {.sequence = 1, .added = Chain(100)}, At(1));
   BOOST_TEST(fixture.Cached(0, 1) == 6400);
-  fixture.cache.Changed(0, {.sequence = 5}, At(1));
+  fixture.cache.OnCacheEvent(0, {.sequence = 5}, At(1));
   BOOST_TEST(fixture.Cached(0, 1) == 4800);
-  fixture.cache.Changed(0, {.sequence = 6, .cleared = true}, At(1));
+  fixture.cache.OnCacheEvent(0, {.sequence = 6, .cleared = true}, At(1));
   BOOST_TEST(fixture.Cached(0, 1) == 0);
   // An event that arrives out of order is ignored.
-  fixture.cache.Changed(0, {.sequence = 2, .added = Chain(100)}, At(1));
+  fixture.cache.OnCacheEvent(0, {.sequence = 2, .added = Chain(100)}, At(1));
   BOOST_TEST(fixture.Cached(0, 1) == 0);
 }
 
@@ -235,7 +235,7 @@
     for (PrefixHash hash = 0; hash < 1000; ++hash) {
       event.added.push_back(i * 1000 + hash);
     }
-    fixture.cache.Changed(0, event, At(1));
+    fixture.cache.OnCacheEvent(0, event, At(1));
   }
   BOOST_TEST(fixture.cache.entries() <= 262144u);
 }
--- a/src/schedule/order.h
+++ b/src/schedule/order.h
@@ -28,7 +28,7 @@
 #include "schedule/index.h"
 #include "schedule/messages.h"
 #include "schedule/output_estimator.h"
-#include "schedule/prefix_cache.h"
+#include "schedule/prefix_cache_tracker.h"
 
 namespace gentianlb::schedule {
 
--- a/src/schedule/place.cc
+++ b/src/schedule/place.cc
@@ -85,7 +85,7 @@
   const Waiting& waiting;
   const Reserves& reserves;
   const Search& search;
-  const PrefixCache::Lookup& lookup;
+  const PrefixCacheTracker::Lookup& lookup;
   absl::Time now;
   double seconds_left = 0;
   double first_token_left = 0;  // Seconds.
@@ -125,7 +125,7 @@
   return now - waiting.since < max_wait;
 }
 
-double Placer::BestCached(const PrefixCache::Lookup& lookup,
+double Placer::BestCached(const PrefixCacheTracker::Lookup& lookup,
                           absl::Time now) const {
   std::vector<ServerIndex> holders;
   lookup.DeepestHolders(kMaxHolders, &holders);
@@ -140,7 +140,7 @@
 }
 
 void Placer::Collect(const Waiting& waiting, const Search& search,
-                     const PrefixCache::Lookup& lookup) {
+                     const PrefixCacheTracker::Lookup& lookup) {
   if (search.only != nullptr) {
     candidates_ = *search.only;
     return;
@@ -159,7 +159,7 @@
   Placement best;
   if (servers_.pool(waiting.pool).open.empty()) return best;
   if ((*search.closed_pools)[waiting.pool]) return best;
-  const PrefixCache::Lookup lookup = cache_.Find(waiting.marks);
+  const PrefixCacheTracker::Lookup lookup = cache_.Find(waiting.marks);
   const bool may_wait = !waiting.marks.empty() && MayWaitForCache(waiting, now);
   const Criteria criteria{
       .waiting = waiting,
--- a/src/schedule/place.h
+++ b/src/schedule/place.h
@@ -19,7 +19,7 @@
 #include "schedule/index.h"
 #include "schedule/order.h"
 #include "schedule/power_ledger.h"
-#include "schedule/prefix_cache.h"
+#include "schedule/prefix_cache_tracker.h"
 #include "schedule/server_set.h"
 
 namespace gentianlb::schedule {
@@ -69,7 +69,7 @@
 class Placer {
  public:
   Placer(const Weights& weights, const ServerSet& servers,
-         const PowerLedger& power, const PrefixCache& cache)
+         const PowerLedger& power, const PrefixCacheTracker& cache)
       : weights_(weights), servers_(servers), power_(power), cache_(cache) {}
 
   // Returns the best placement of `waiting`. Changes no state.
@@ -84,12 +84,13 @@
   bool MayWaitForCache(const Waiting& waiting, absl::Time now) const;
   // Returns the maximum expected number of cached prompt tokens over the
   // healthy servers that hold the prefix.
-  double BestCached(const PrefixCache::Lookup& lookup, absl::Time now) const;
+  double BestCached(const PrefixCacheTracker::Lookup& lookup,
+                    absl::Time now) const;
   // Returns the output tokens to assume when predicting the finish time.
   double AssumedOutputTokens(const Waiting& waiting, bool contended) const;
   // Fills `candidates_`.
   void Collect(const Waiting& waiting, const Search& search,
-               const PrefixCache::Lookup& lookup);
+               const PrefixCacheTracker::Lookup& lookup);
   // Scores one candidate and updates `best` if it is better or blocked for a
   // different reason.
   void Consider(ServerIndex server, const Criteria& criteria, Placement* best,
@@ -98,7 +99,7 @@
   Weights weights_;
   const ServerSet& servers_;
   const PowerLedger& power_;
-  const PrefixCache& cache_;
+  const PrefixCacheTracker& cache_;
   std::vector<ServerIndex> candidates_;  // Reused to avoid allocations.
 };
 
--- a/src/schedule/prefix_cache.cc
+++ b/src/schedule/prefix_cache_tracker.cc
@@ -1,4 +1,4 @@
-#include "schedule/prefix_cache.h"
+#include "schedule/prefix_cache_tracker.h"
 
 #include <algorithm>
 
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::vector<PrefixMark> MarksOf(const std::vector<PrefixHash>& prefix) {
+std::vector<PrefixMark> MakePrefixMarks(const std::vector<PrefixHash>& prefix) {
   std::vector<PrefixMark> marks;
   const int blocks = static_cast<int>(prefix.size());
   for (int depth = 1; depth < blocks;
@@ -39,8 +39,8 @@
   return marks;
 }
 
-double PrefixCache::Lookup::CachedTokens(ServerIndex server,
-                                         absl::Time now) const {
+double PrefixCacheTracker::Lookup::CachedTokens(ServerIndex server,
+                                                absl::Time now) const {
   for (const Level& level : levels_) {
     const auto found =
         std::lower_bound(level.holders->begin(), level.holders->end(), server,
@@ -50,13 +50,13 @@
     if (found == level.holders->end() || found->server != server) continue;
     const Server& state = cache_->servers_[server];
     const double probability =
-        cache_->CachedProbability(state, found->last_use, now);
+        cache_->RetentionProbability(state, found->last_use, now);
     if (probability > 0) return level.tokens * probability;
   }
   return 0;
 }
 
-void PrefixCache::Lookup::DeepestHolders(
+void PrefixCacheTracker::Lookup::DeepestHolders(
     std::size_t limit, std::vector<ServerIndex>* servers) const {
   const std::size_t max_size = servers->size() + limit;
   for (const Level& level : levels_) {
@@ -69,12 +69,12 @@
   }
 }
 
-void PrefixCache::SetServer(ServerIndex server, const ServerSpec& spec) {
+void PrefixCacheTracker::SetServer(ServerIndex server, const ServerSpec& spec) {
   if (server >= servers_.size()) servers_.resize(server + 1);
   servers_[server].capacity = static_cast<double>(spec.cache_tokens);
 }
 
-PrefixCache::Lookup PrefixCache::Find(
+PrefixCacheTracker::Lookup PrefixCacheTracker::Find(
     const std::vector<PrefixMark>& marks) const {
   Lookup lookup;
   lookup.cache_ = this;
@@ -86,17 +86,18 @@
   return lookup;
 }
 
-void PrefixCache::Granted(ServerIndex server,
-                          const std::vector<PrefixMark>& marks,
-                          double new_tokens, absl::Time now) {
+void PrefixCacheTracker::OnGrant(ServerIndex server,
+                                 const std::vector<PrefixMark>& marks,
+                                 double new_tokens, absl::Time now) {
   if (servers_[server].capacity <= 0) return;
   AddElapsedTime(&servers_[server], now);
   servers_[server].inserted_tokens += new_tokens;
   for (const PrefixMark& mark : marks) Touch(server, mark.hash, now);
 }
 
-void PrefixCache::Changed(ServerIndex server, const CacheChanged& event,
-                          absl::Time now) {
+void PrefixCacheTracker::OnCacheEvent(ServerIndex server,
+                                      const CacheChanged& event,
+                                      absl::Time now) {
   Server& state = servers_[server];
   if (event.sequence <= state.sequence) return;  // Duplicate or out of order.
   AddElapsedTime(&state, now);
@@ -108,8 +109,9 @@
   for (const PrefixHash hash : event.added) Touch(server, hash, now);
 }
 
-void PrefixCache::Reported(ServerIndex server, double predicted,
-                           double cached) {
+void PrefixCacheTracker::OnCachedTokensReported(ServerIndex server,
+                                                double predicted,
+                                                double cached) {
   if (predicted < kPrefixBlockTokens) return;
   Server& state = servers_[server];
   // `predicted` already includes the accuracy.
@@ -118,22 +120,23 @@
   state.accuracy += kAccuracyWeight * (sample - state.accuracy);
 }
 
-void PrefixCache::Clear(ServerIndex server, absl::Time now) {
+void PrefixCacheTracker::Clear(ServerIndex server, absl::Time now) {
   Server& state = servers_[server];
   AddElapsedTime(&state, now);
   state.inserted_tokens += 1;
   state.cleared_at = state.inserted_tokens;
 }
 
-double PrefixCache::CachedProbability(const Server& server, double last_use,
-                                      absl::Time now) const {
+double PrefixCacheTracker::RetentionProbability(const Server& server,
+                                                double last_use,
+                                                absl::Time now) const {
   if (server.capacity <= 0 || last_use < server.cleared_at) return 0;
   const double replaced = (server.inserted_tokens - last_use) / server.capacity;
   const double aged = absl::FDivDuration(now - server.aged_until, kMaxEntryAge);
   return server.accuracy * std::clamp(1 - replaced - aged, 0.0, 1.0);
 }
 
-void PrefixCache::AddElapsedTime(Server* server, absl::Time now) {
+void PrefixCacheTracker::AddElapsedTime(Server* server, absl::Time now) {
   if (server->aged_until == absl::Time()) server->aged_until = now;
   const double aged =
       absl::FDivDuration(now - server->aged_until, kMaxEntryAge);
@@ -141,7 +144,8 @@
   server->aged_until = now;
 }
 
-void PrefixCache::Touch(ServerIndex server, PrefixHash hash, absl::Time now) {
+void PrefixCacheTracker::Touch(ServerIndex server, PrefixHash hash,
+                               absl::Time now) {
   const double last_use = servers_[server].inserted_tokens;
   Holders& holders = holders_[hash];
   const auto place =
@@ -159,7 +163,7 @@
   EvictExcess(now);
 }
 
-void PrefixCache::Erase(ServerIndex server, PrefixHash hash) {
+void PrefixCacheTracker::Erase(ServerIndex server, PrefixHash hash) {
   const auto found = holders_.find(hash);
   if (found == holders_.end()) return;
   const std::size_t erased = std::erase_if(
@@ -169,7 +173,7 @@
   if (found->second.empty()) holders_.erase(found);
 }
 
-void PrefixCache::EvictExcess(absl::Time now) {
+void PrefixCacheTracker::EvictExcess(absl::Time now) {
   // Of the first kSecondChances entries, those that are probably still cached
   // move to the back of the order. After that, entries are erased regardless,
   // to stay within the limit.
@@ -187,7 +191,7 @@
                                      });
     if (holder == found->second.end()) continue;
     const double probability =
-        CachedProbability(servers_[server], holder->last_use, now);
+        RetentionProbability(servers_[server], holder->last_use, now);
     if (chances-- > 0 && probability > kMinProbabilityToKeep) {
       insertion_order_.emplace_back(hash, server);
     } else {
--- a/src/schedule/prefix_cache.h
+++ b/src/schedule/prefix_cache_tracker.h
@@ -18,8 +18,8 @@
 // than the one before. This takes a few lookups instead of hundreds, and the
 // depth found is at most a fifth too short.
 
-#ifndef GENTIANLB_SCHEDULE_PREFIX_CACHE_H_
-#define GENTIANLB_SCHEDULE_PREFIX_CACHE_H_
+#ifndef GENTIANLB_SCHEDULE_PREFIX_CACHE_TRACKER_H_
+#define GENTIANLB_SCHEDULE_PREFIX_CACHE_TRACKER_H_
 
 #include <cstddef>
 #include <deque>
@@ -35,10 +35,10 @@
 
 // Returns the depths of `prefix` to look up, shallowest first. The last block
 // is always included.
-std::vector<PrefixMark> MarksOf(const std::vector<PrefixHash>& prefix);
+std::vector<PrefixMark> MakePrefixMarks(const std::vector<PrefixHash>& prefix);
 
 // Tracks the cached prefixes of all servers.
-class PrefixCache {
+class PrefixCacheTracker {
  public:
   // A server that holds a prefix, and the last use of the prefix there.
   struct Holder {
@@ -61,12 +61,12 @@
                         std::vector<ServerIndex>* servers) const;
 
    private:
-    friend class PrefixCache;
+    friend class PrefixCacheTracker;
     struct Level {
       int tokens;
       const Holders* holders;
     };
-    const PrefixCache* cache_ = nullptr;
+    const PrefixCacheTracker* cache_ = nullptr;
     std::vector<Level> levels_;  // Deepest first.
   };
 
@@ -79,15 +79,17 @@
 
   // Records a grant: the engine will hold the prefix `marks`, and `new_tokens`
   // tokens replace its least recently used blocks.
-  void Granted(ServerIndex server, const std::vector<PrefixMark>& marks,
+  void OnGrant(ServerIndex server, const std::vector<PrefixMark>& marks,
                double new_tokens, absl::Time now);
 
   // Applies a cache event. Ignores duplicate and outdated events.
-  void Changed(ServerIndex server, const CacheChanged& event, absl::Time now);
+  void OnCacheEvent(ServerIndex server, const CacheChanged& event,
+                    absl::Time now);
 
   // Corrects the accuracy of a server's entries by one request: the predicted
   // number of cached tokens and the number that the engine reports.
-  void Reported(ServerIndex server, double predicted, double cached);
+  void OnCachedTokensReported(ServerIndex server, double predicted,
+                              double cached);
 
   // Drops all entries of a server, for example after a restart.
   void Clear(ServerIndex server, absl::Time now);
@@ -106,8 +108,8 @@
 
   // Returns the estimated probability that a block last used at `last_use` is
   // still cached.
-  double CachedProbability(const Server& server, double last_use,
-                           absl::Time now) const;
+  double RetentionProbability(const Server& server, double last_use,
+                              absl::Time now) const;
   // Adds the time since the last call to the server's inserted tokens.
   void AddElapsedTime(Server* server, absl::Time now);
   // Adds an entry, or updates its last use.
@@ -125,4 +127,4 @@
 
 }  // namespace gentianlb::schedule
 
-#endif  // GENTIANLB_SCHEDULE_PREFIX_CACHE_H_
+#endif  // GENTIANLB_SCHEDULE_PREFIX_CACHE_TRACKER_H_
--- a/src/schedule/state.h
+++ b/src/schedule/state.h
@@ -19,7 +19,7 @@
 #include "schedule/order.h"
 #include "schedule/output_estimator.h"
 #include "schedule/power_ledger.h"
-#include "schedule/prefix_cache.h"
+#include "schedule/prefix_cache_tracker.h"
 #include "schedule/refuse.h"
 #include "schedule/running.h"
 #include "schedule/server_set.h"
@@ -62,7 +62,7 @@
   RunningTable running;
   ServerSet servers;
   PowerLedger power;
-  PrefixCache cache;
+  PrefixCacheTracker cache;
   WorkspaceLimits limits;
   OutputEstimator estimator;
   RetryBudget retries{RetryOptions{}};
