--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -161,40 +161,40 @@
   block_ = {};
   if (state_.queue.LaneEmpty(lane)) return false;
   state_.queue.Heads(lane, kHeadsTried, &heads_);
-  const Search search{.closed_pools = &closed_pools_,
-                      .held = &held_,
-                      .only = only_,
-                      .contended = state_.queue.LaneSize(lane) > 1,
-                      .hopeful = hopeful};
+  const SearchScope search{.closed_pools = &closed_pools_,
+                           .held_servers = &held_,
+                           .only_servers = only_,
+                           .contended = state_.queue.LaneSize(lane) > 1,
+                           .optimistic = hopeful};
   bool urgent = false;
   for (const WaitIndex index : heads_) {
     const Waiting& waiting = state_.queue.Get(index);
     if (hopeful && state_.now < waiting.urgent_at) continue;
     const Placement placement = placer_.Place(
         waiting, ReservesFor(state_, waiting), search, state_.now);
-    switch (placement.hindrance) {
-      case Hindrance::kNone:
+    switch (placement.reason) {
+      case BlockReason::kNone:
         Grant(index, placement);
         return true;
-      case Hindrance::kNoRoom:
+      case BlockReason::kNoCapacity:
         no_room_ = true;
         block_.pool = true;
         Preempt(state_, index, /*for_power=*/false);
         return false;
-      case Hindrance::kNoPower:
+      case BlockReason::kNoPower:
         power_out_ = true;
         Preempt(state_, index, /*for_power=*/true);
         return false;
-      case Hindrance::kReserved:
+      case BlockReason::kReserved:
         block_.pool = true;
         Preempt(state_, index, /*for_power=*/false);
         // What is kept from a short one is kept from all behind it.
         if (!waiting.is_long) return false;
         break;
-      case Hindrance::kTooLarge:
+      case BlockReason::kTooLarge:
         Hold(index, placement);
         break;
-      case Hindrance::kTooSlow:
+      case BlockReason::kTooSlow:
         urgent |= state_.now >= waiting.urgent_at;
         break;
     }
--- a/src/schedule/grant.h
+++ b/src/schedule/grant.h
@@ -5,7 +5,7 @@
 #ifndef GENTIANLB_SCHEDULE_GRANT_H_
 #define GENTIANLB_SCHEDULE_GRANT_H_
 
-#include "schedule/place.h"
+#include "schedule/placer.h"
 #include "schedule/state.h"
 
 namespace gentianlb::schedule {
--- a/src/schedule/place.cc
+++ b/src/schedule/placer.cc
@@ -1,4 +1,4 @@
-#include "schedule/place.h"
+#include "schedule/placer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -58,9 +58,9 @@
 }
 
 // Records a reason why one candidate was rejected.
-void Block(Hindrance hindrance, Placement* best) {
-  if (best->hindrance == Hindrance::kNone) return;
-  best->hindrance = std::max(best->hindrance, hindrance);
+void Block(BlockReason reason, Placement* best) {
+  if (best->reason == BlockReason::kNone) return;
+  best->reason = std::max(best->reason, reason);
 }
 
 }  // namespace
@@ -84,7 +84,7 @@
 struct Placer::Criteria {
   const Waiting& waiting;
   const Reserves& reserves;
-  const Search& search;
+  const SearchScope& scope;
   const PrefixCacheTracker::Lookup& lookup;
   absl::Time now;
   double seconds_left = 0;
@@ -99,10 +99,10 @@
     if (server == waiting.avoid && servers.pool(waiting.pool).usable > 1) {
       return true;
     }
-    if (Contains(*search.held, server)) return true;
+    if (Contains(*scope.held_servers, server)) return true;
     const std::vector<PoolIndex>& pools = servers.at(server).pools;
     return std::any_of(pools.begin(), pools.end(), [this](PoolIndex pool) {
-      return (*search.closed_pools)[pool];
+      return (*scope.closed_pools)[pool];
     });
   }
 };
@@ -139,10 +139,10 @@
   return best;
 }
 
-void Placer::Collect(const Waiting& waiting, const Search& search,
+void Placer::Collect(const Waiting& waiting, const SearchScope& scope,
                      const PrefixCacheTracker::Lookup& lookup) {
-  if (search.only != nullptr) {
-    candidates_ = *search.only;
+  if (scope.only_servers != nullptr) {
+    candidates_ = *scope.only_servers;
     return;
   }
   const Pool& pool = servers_.pool(waiting.pool);
@@ -155,26 +155,26 @@
 }
 
 Placement Placer::Place(const Waiting& waiting, const Reserves& reserves,
-                        const Search& search, absl::Time now) {
+                        const SearchScope& scope, absl::Time now) {
   Placement best;
   if (servers_.pool(waiting.pool).open.empty()) return best;
-  if ((*search.closed_pools)[waiting.pool]) return best;
+  if ((*scope.closed_pools)[waiting.pool]) return best;
   const PrefixCacheTracker::Lookup lookup = cache_.Find(waiting.marks);
   const bool may_wait = !waiting.marks.empty() && MayWaitForCache(waiting, now);
   const Criteria criteria{
       .waiting = waiting,
       .reserves = reserves,
-      .search = search,
+      .scope = scope,
       .lookup = lookup,
       .now = now,
       .seconds_left = absl::ToDoubleSeconds(waiting.request.deadline - now),
       .first_token_left =
           absl::ToDoubleSeconds(waiting.request.first_token_due - now),
-      .output = AssumedOutputTokens(waiting, search.contended),
-      .optimistic = search.hopeful,
+      .output = AssumedOutputTokens(waiting, scope.contended),
+      .optimistic = scope.optimistic,
       .may_wait = may_wait,
       .best_cached = may_wait ? BestCached(lookup, now) : 0};
-  Collect(waiting, search, lookup);
+  Collect(waiting, scope, lookup);
   double best_score = std::numeric_limits<double>::infinity();
   for (const ServerIndex server : candidates_) {
     Consider(server, criteria, &best, &best_score);
@@ -194,7 +194,7 @@
   const int reserved =
       static_cast<int>(criteria.reserves.streams * server.window.streams());
   if (server.FreeStreams(criteria.now) <= reserved && server.running() > 0) {
-    return Block(Hindrance::kReserved, best);
+    return Block(BlockReason::kReserved, best);
   }
   if (criteria.IsClosed(servers_, index)) return;
 
@@ -212,19 +212,18 @@
     const bool first = best->server == kNoIndex;
     const bool more_memory =
         first || server.FreeMemory() > servers_.at(best->server).FreeMemory();
-    if (best->hindrance != Hindrance::kNone && more_memory)
-      best->server = index;
-    return Block(Hindrance::kTooLarge, best);
+    if (best->reason != BlockReason::kNone && more_memory) best->server = index;
+    return Block(BlockReason::kTooLarge, best);
   }
   if (!power_.Fits(index, criteria.reserves.power)) {
-    return Block(Hindrance::kNoPower, best);
+    return Block(BlockReason::kNoPower, best);
   }
 
   // Delay scheduling: the server that has the prompt cached may become free
   // soon.
   const bool misplaced = criteria.best_cached - cached > kMinTokensToWaitFor &&
                          cached < kMinCachedFraction * criteria.best_cached;
-  if (criteria.may_wait && misplaced) return Block(Hindrance::kTooSlow, best);
+  if (criteria.may_wait && misplaced) return Block(BlockReason::kTooSlow, best);
 
   // Rejects servers on which the request would be late.
   double finish = server.FinishSeconds(demand, criteria.now);
@@ -236,12 +235,12 @@
   const bool probe = server.window.probing();
   const double margin = probe ? kProbeMargin : 1;
   if (finish * margin > criteria.seconds_left) {
-    return Block(Hindrance::kTooSlow, best);
+    return Block(BlockReason::kTooSlow, best);
   }
   const double first =
       server.FirstTokenSeconds(demand.prefill_tokens, criteria.now);
   if (!demand.plain && first * margin > criteria.first_token_left) {
-    return Block(Hindrance::kTooSlow, best);
+    return Block(BlockReason::kTooSlow, best);
   }
 
   finish += RoleMismatchSeconds(server, demand);
@@ -253,9 +252,9 @@
             : server.spec.reluctance *
                   (weights_.goodput * finish +
                    weights_.wasted_prefill * kUncachedCostFactor * uncached);
-  if (best->hindrance == Hindrance::kNone && score >= *best_score) return;
+  if (best->reason == BlockReason::kNone && score >= *best_score) return;
   *best_score = score;
-  *best = {Hindrance::kNone, index, demand, cached};
+  *best = {BlockReason::kNone, index, demand, cached};
 }
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/place.h
+++ b/src/schedule/placer.h
@@ -10,8 +10,8 @@
 // with the weights of the deployment. A server on which the request would be
 // late is not selected as long as a better one may become free.
 
-#ifndef GENTIANLB_SCHEDULE_PLACE_H_
-#define GENTIANLB_SCHEDULE_PLACE_H_
+#ifndef GENTIANLB_SCHEDULE_PLACER_H_
+#define GENTIANLB_SCHEDULE_PLACER_H_
 
 #include <vector>
 
@@ -26,18 +26,18 @@
 
 // Why a request can't be granted now. If several reasons apply, the last one in
 // this order is reported.
-enum class Hindrance {
+enum class BlockReason {
   kNone,
-  kNoRoom,    // No server has a free stream.
-  kReserved,  // Free streams are reserved for short or urgent requests.
-  kTooSlow,   // The request would be late on every server with capacity.
-  kTooLarge,  // Streams are free, but memory or prefill capacity is short.
-  kNoPower,   // The power share is used up.
+  kNoCapacity,  // No server has a free stream.
+  kReserved,    // Free streams are reserved for short or urgent requests.
+  kTooSlow,     // The request would be late on every server with capacity.
+  kTooLarge,    // Streams are free, but memory or prefill capacity is short.
+  kNoPower,     // The power share is used up.
 };
 
 // The selected server, or the reason why there is none.
 struct Placement {
-  Hindrance hindrance = Hindrance::kNoRoom;
+  BlockReason reason = BlockReason::kNoCapacity;
   // The selected server; for kTooLarge, the one with most free memory.
   ServerIndex server = kNoIndex;
   Demand demand;  // On the selected server.
@@ -51,18 +51,18 @@
 };
 
 // Restricts the servers considered for one request.
-struct Search {
+struct SearchScope {
   // Pools for which requests of a higher tier wait; indexed by PoolIndex.
   const std::vector<bool>* closed_pools = nullptr;
   // Servers kept free for a large request.
-  const std::vector<ServerIndex>* held = nullptr;
+  const std::vector<ServerIndex>* held_servers = nullptr;
   // If set, only these servers are considered: all others were tried before and
   // have not changed since.
-  const std::vector<ServerIndex>* only = nullptr;
+  const std::vector<ServerIndex>* only_servers = nullptr;
   bool contended = false;  // Whether other requests wait in the same lane.
   // Whether to grant a request that meets its deadline only with a short
   // output.
-  bool hopeful = false;
+  bool optimistic = false;
 };
 
 // Scores candidate servers and selects the best one for a request.
@@ -74,7 +74,7 @@
 
   // Returns the best placement of `waiting`. Changes no state.
   Placement Place(const Waiting& waiting, const Reserves& reserves,
-                  const Search& search, absl::Time now);
+                  const SearchScope& scope, absl::Time now);
 
  private:
   struct Criteria;
@@ -89,7 +89,7 @@
   // Returns the output tokens to assume when predicting the finish time.
   double AssumedOutputTokens(const Waiting& waiting, bool contended) const;
   // Fills `candidates_`.
-  void Collect(const Waiting& waiting, const Search& search,
+  void Collect(const Waiting& waiting, const SearchScope& scope,
                const PrefixCacheTracker::Lookup& lookup);
   // Scores one candidate and updates `best` if it is better or blocked for a
   // different reason.
@@ -105,4 +105,4 @@
 
 }  // namespace gentianlb::schedule
 
-#endif  // GENTIANLB_SCHEDULE_PLACE_H_
+#endif  // GENTIANLB_SCHEDULE_PLACER_H_
