--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -30,43 +30,48 @@
 
 // Between the two expectations, it is the cache that was misjudged, not the
 // server.
-void SampleFirstToken(Server& server, const Running& running, double seconds) {
-  if (seconds <= server.speed.TotalSeconds(running.expected_first)) {
-    server.speed.AddFirstTokenSample(seconds, running.expected_first);
-  } else if (seconds >= server.speed.TotalSeconds(running.expected_uncached)) {
-    server.speed.AddFirstTokenSample(seconds, running.expected_uncached);
+void SampleFirstToken(Server& server, const RunningRequest& running,
+                      double seconds) {
+  if (seconds <= server.speed.TotalSeconds(running.expected_first_token)) {
+    server.speed.AddFirstTokenSample(seconds, running.expected_first_token);
+  } else if (seconds >=
+             server.speed.TotalSeconds(running.expected_first_token_uncached)) {
+    server.speed.AddFirstTokenSample(seconds,
+                                     running.expected_first_token_uncached);
   }
 }
 
 void FirstToken(State& state, RunIndex index) {
-  const Running& running = state.running.Get(index);
+  const RunningRequest& running = state.running.Get(index);
   Server& server = state.servers.at(running.server);
-  const double seconds = absl::ToDoubleSeconds(state.now - running.granted);
+  const double seconds = absl::ToDoubleSeconds(state.now - running.granted_at);
   bool slow = false;
   if (!running.taken_over) {
     SampleFirstToken(server, running, seconds);
-    slow = seconds > kSlowFactor * running.predicted_first + kSlowSeconds;
+    slow = seconds >
+           kSlowFactor * running.predicted_first_token_seconds + kSlowSeconds;
   }
   // Its prompt is computed: prompt room and watts are free for others.
   server.FirstToken(running.demand, state.now);
-  state.power.OnFirstToken(running.server, running.cancelled.has_value());
+  state.power.OnFirstToken(running.server, running.cancel_cause.has_value());
   state.running.SetFirstToken(index);
   Judge(state, server, server.running(), slow);
 }
 
 void MoreTokens(State& state, RunIndex index, int tokens) {
-  const Running& running = state.running.Get(index);
+  const RunningRequest& running = state.running.Get(index);
   Server& server = state.servers.at(running.server);
   const int more = tokens - running.output_tokens;
   if (more <= 0) return;  // Overtaken on the way.
-  const double seconds = absl::ToDoubleSeconds(state.now - running.reported);
+  const double seconds =
+      absl::ToDoubleSeconds(state.now - running.last_report_at);
   server.speed.AddDecodeSample(seconds / more, server.running());
   Judge(state, server, server.running(), /*slow=*/false);
 }
 
 // An answer that outgrows its estimate needs more memory than was reserved.
 void CorrectMemory(State& state, RunIndex index, int tokens) {
-  const Running& running = state.running.Get(index);
+  const RunningRequest& running = state.running.Get(index);
   if (tokens < running.origin.output.p90 || running.demand.plain) return;
   const Request& request = running.origin.request;
   const OutputEstimate output =
@@ -80,16 +85,16 @@
 }
 
 // Frees what `running` held, whatever its end.
-void Release(State& state, const Running& running) {
+void Release(State& state, const RunningRequest& running) {
   Server& server = state.servers.at(running.server);
   server.End(running.demand, running.first_token, state.now);
   state.power.RemoveStream(running.server, !running.first_token,
-                           running.cancelled.has_value());
+                           running.cancel_cause.has_value());
   state.limits.RemoveRunning(running.origin.workspace);
-  if (running.cancelled == WasteCause::kPreempted) --state.preempting;
+  if (running.cancel_cause == WasteCause::kPreempted) --state.preempting;
 }
 
-void LearnFromAnswer(State& state, const Running& running,
+void LearnFromAnswer(State& state, const RunningRequest& running,
                      const RequestEnded& event) {
   const Waiting& origin = running.origin;
   Server& server = state.servers.at(running.server);
@@ -97,13 +102,14 @@
   if (running.demand.plain) {
     if (running.taken_over) return;
     server.speed.AddCallSample(
-        absl::ToDoubleSeconds(state.now - running.granted));
+        absl::ToDoubleSeconds(state.now - running.granted_at));
     return Judge(state, server, server.running() + 1, /*slow=*/false);
   }
   // The last stretch of the stream, or all of it where reports are few.
   const int more = event.output_tokens - running.output_tokens;
   if (running.first_token && more > 0) {
-    const double seconds = absl::ToDoubleSeconds(state.now - running.reported);
+    const double seconds =
+        absl::ToDoubleSeconds(state.now - running.last_report_at);
     server.speed.AddDecodeSample(seconds / more, server.running() + 1);
     Judge(state, server, server.running() + 1, /*slow=*/false);
   }
@@ -122,7 +128,7 @@
                       event.output_tokens - origin.output.median);
 }
 
-double PrefillOf(const Running& running, const RequestEnded& event,
+double PrefillOf(const RunningRequest& running, const RequestEnded& event,
                  absl::Time now) {
   if (event.kind != EndKind::kComplete) return ComputedPrefill(running, now);
   if (event.cached_prompt_tokens <= 0) return running.demand.prefill_tokens;
@@ -130,7 +136,7 @@
       0, running.origin.request.prompt_tokens - event.cached_prompt_tokens);
 }
 
-void CountPrefill(State& state, const Running& running,
+void CountPrefill(State& state, const RunningRequest& running,
                   const RequestEnded& event) {
   const double prefill = PrefillOf(running, event, state.now);
   state.counters.prefill_computed += prefill;
@@ -138,7 +144,7 @@
   const WasteCause unasked = event.kind == EndKind::kBroken
                                  ? WasteCause::kServerBroke
                                  : WasteCause::kCallerDisconnected;
-  const WasteCause cause = running.cancelled.value_or(unasked);
+  const WasteCause cause = running.cancel_cause.value_or(unasked);
   state.counters.prefill_wasted[static_cast<std::size_t>(cause)] += prefill;
 }
 
@@ -169,11 +175,12 @@
   demand.kv_tokens = request.prompt_tokens + origin.output.p90;
   demand.prefill_tokens =
       event.just_sent ? request.prompt_tokens - cached : request.prompt_tokens;
-  Running running = BeginOn(state, std::move(origin), server, demand, cached);
+  RunningRequest running =
+      BeginOn(state, std::move(origin), server, demand, cached);
   running.first_token = event.output_tokens > 0;
   running.output_tokens = event.output_tokens;
   running.taken_over = !event.just_sent;
-  if (running.taken_over) running.overdue = absl::InfiniteFuture();
+  if (running.taken_over) running.overdue_at = absl::InfiniteFuture();
 
   Server& target = state.servers.at(server);
   target.Begin(running.demand, state.now);
@@ -191,7 +198,7 @@
 void Streamed(State& state, const TokensStreamed& event) {
   const RunIndex index = state.running.Find(event.id);
   if (index == kNoIndex) return;
-  const Running& running = state.running.Get(index);
+  const RunningRequest& running = state.running.Get(index);
   const ServerIndex server = running.server;
   const int window = state.servers.at(server).window.streams();
   const bool first = !running.first_token;
@@ -202,7 +209,7 @@
   }
   CorrectMemory(state, index, event.output_tokens);
   const int tokens = std::max(running.output_tokens, event.output_tokens);
-  state.running.SetStreamed(index, tokens, state.now);
+  state.running.SetOutputTokens(index, tokens, state.now);
   // Prompt room and watts, or a larger window.
   if (first || state.servers.at(server).window.streams() > window) {
     RoomOn(state, server);
@@ -214,7 +221,7 @@
 void Ended(State& state, const RequestEnded& event) {
   const RunIndex index = state.running.Find(event.id);
   if (index == kNoIndex) return;
-  Running running = state.running.Remove(index);
+  RunningRequest running = state.running.Remove(index);
   const ServerIndex index_of_server = running.server;
   Server& server = state.servers.at(index_of_server);
   Release(state, running);
@@ -248,7 +255,7 @@
     case EndKind::kNotSent:
       server.window.Unreachable(state.now);
       // A cancel was its final answer already.
-      if (!running.cancelled) {
+      if (!running.cancel_cause) {
         Retry(state, std::move(running.origin), index_of_server);
       } else {
         ++state.counters.cancelled;
@@ -260,20 +267,21 @@
 
 void NoticeSilence(State& state) {
   while (true) {
-    const RunIndex index = state.running.Overdue(state.now);
+    const RunIndex index = state.running.FirstOverdue(state.now);
     if (index == kNoIndex) return;
-    const Running& running = state.running.Get(index);
+    const RunningRequest& running = state.running.Get(index);
     Server& server = state.servers.at(running.server);
     ++state.counters.overdue_first_tokens;
     // It has taken at least this long.
-    const absl::Duration silent = state.now - running.granted;
+    const absl::Duration silent = state.now - running.granted_at;
     const double seconds = absl::ToDoubleSeconds(silent);
     if (!running.demand.plain) {
-      server.speed.AddFirstTokenSample(seconds, running.expected_uncached);
+      server.speed.AddFirstTokenSample(seconds,
+                                       running.expected_first_token_uncached);
     }
     CutWindow(state, server);
     // Noticed again when it has been silent for twice as long.
-    state.running.SetOverdue(index, state.now + silent);
+    state.running.SetOverdueTime(index, state.now + silent);
     state.servers.Reindex(running.server, state.now);
   }
 }
--- a/src/schedule/dispatcher.cc
+++ b/src/schedule/dispatcher.cc
@@ -49,9 +49,9 @@
   }
   const RunIndex index = state.running.Find(event.id);
   if (index == kNoIndex) return;
-  const Running& running = state.running.Get(index);
+  const RunningRequest& running = state.running.Get(index);
   // A begun call of a plain service can't be stopped; it runs to its end.
-  if (running.cancelled || running.demand.plain) return;
+  if (running.cancel_cause || running.demand.plain) return;
   CancelRunning(state, index, WasteCause::kCallerDisconnected);
 }
 
@@ -153,7 +153,7 @@
 
 absl::Time Dispatcher::NextWakeup() const {
   const State& state = *state_;
-  const absl::Time silence = state.running.NextOverdue();
+  const absl::Time silence = state.running.NextOverdueTime();
   if (state.queue.empty()) return silence;
   absl::Time next = std::min(silence, state.queue.FirstExpiry());
   next = std::min(next, state.servers.NextRecheckTime());
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -231,8 +231,8 @@
                        waiting.request.prompt_tokens + waiting.output.median);
   state_.drains[waiting.pool].Granted(waiting.work, now);
 
-  Running running = BeginOn(state_, std::move(waiting), placement.server,
-                            demand, placement.cached_tokens);
+  RunningRequest running = BeginOn(state_, std::move(waiting), placement.server,
+                                   demand, placement.cached_tokens);
   const Waiting& origin = running.origin;
   server.Begin(demand, now);
   state_.power.AddStream(placement.server, /*prefilling=*/true);
@@ -248,32 +248,34 @@
 
 }  // namespace
 
-Running BeginOn(const State& state, Waiting waiting, ServerIndex index,
-                const Demand& demand, double cached_tokens) {
+RunningRequest BeginOn(const State& state, Waiting waiting, ServerIndex index,
+                       const Demand& demand, double cached_tokens) {
   const Server& server = state.servers.at(index);
   const absl::Time now = state.now;
-  Running running;
+  RunningRequest running;
   running.server = index;
   running.demand = demand;
   running.cached_tokens = cached_tokens;
-  running.expected_first =
+  running.expected_first_token =
       server.ExpectedFirstToken(demand.prefill_tokens, now);
   // A prefix that was evicted unseen must not look like a slow server.
   const double prompt = waiting.request.prompt_tokens;
-  running.expected_uncached = server.ExpectedFirstToken(prompt, now);
-  running.predicted_first = demand.plain
-                                ? server.speed.CallSeconds()
-                                : server.FirstTokenSeconds(prompt, now);
-  running.granted = now;
-  running.reported = now;
+  running.expected_first_token_uncached =
+      server.ExpectedFirstToken(prompt, now);
+  running.predicted_first_token_seconds =
+      demand.plain ? server.speed.CallSeconds()
+                   : server.FirstTokenSeconds(prompt, now);
+  running.granted_at = now;
+  running.last_report_at = now;
   // A call of a plain service shows nothing before its end, and may take any
   // time: silence says nothing. A slow server shows in the mean of its calls,
   // and a dead one is judged by those who poll it.
-  running.overdue =
+  running.overdue_at =
       demand.plain
           ? absl::InfiniteFuture()
           : now + absl::Seconds(kSilenceSeconds +
-                                kSilenceFactor * running.predicted_first);
+                                kSilenceFactor *
+                                    running.predicted_first_token_seconds);
   running.origin = std::move(waiting);
   return running;
 }
--- a/src/schedule/grant.h
+++ b/src/schedule/grant.h
@@ -12,8 +12,8 @@
 
 // A request that begins on `server` now, with the times by which its answer
 // will be measured.
-Running BeginOn(const State& state, Waiting waiting, ServerIndex server,
-                const Demand& demand, double cached_tokens);
+RunningRequest BeginOn(const State& state, Waiting waiting, ServerIndex server,
+                       const Demand& demand, double cached_tokens);
 
 // Does nothing unless something changed that may have made room.
 void GrantWaiting(State& state);
--- a/src/schedule/preempt.cc
+++ b/src/schedule/preempt.cc
@@ -37,7 +37,7 @@
   constexpr int kAll = std::numeric_limits<int>::max();
   while (state.power.MustCancel()) {
     const RunIndex victim = state.running.FirstVictim(
-        /*above=*/-1, kAll, [&](const Running& running) {
+        /*above=*/-1, kAll, [&](const RunningRequest& running) {
           return DrawsPower(state.servers.at(running.server));
         });
     if (victim == kNoIndex) return;
@@ -49,7 +49,7 @@
   while (!state.queue.empty()) {
     const RunIndex index = state.running.EarliestDeadline();
     if (index == kNoIndex) return;
-    const Running& running = state.running.Get(index);
+    const RunningRequest& running = state.running.Get(index);
     const Request& request = running.origin.request;
     if (request.deadline > state.now) return;
     // What is nearly done costs others little and throws nothing away.
@@ -61,7 +61,7 @@
     if (WorthIt(state.options.weights, remaining, thrown)) {
       CancelRunning(state, index, WasteCause::kDeadlineMissed);
     } else {
-      state.running.LetRun(index);
+      state.running.IgnoreDeadline(index);
     }
   }
 }
@@ -71,7 +71,8 @@
   if (!state.options.allow_preemption || state.now < waiting.urgent_at) return;
   if (state.preempting >= kMaxPreempting) return;
   const RunIndex victim = state.running.FirstVictim(
-      waiting.request.tier.rank, kPreemptTried, [&](const Running& running) {
+      waiting.request.tier.rank, kPreemptTried,
+      [&](const RunningRequest& running) {
         const Server& server = state.servers.at(running.server);
         const bool helps = for_power
                                ? DrawsPower(server)
--- a/src/schedule/running.cc
+++ b/src/schedule/running.cc
@@ -5,33 +5,33 @@
 
 namespace gentianlb::schedule {
 
-RunningTable::VictimKey RunningTable::KeyOf(const Running& running,
+RunningTable::VictimKey RunningTable::KeyOf(const RunningRequest& running,
                                             RunIndex index) {
   const int wasted =
       running.first_token ? static_cast<int>(running.demand.prefill_tokens) : 0;
   return {-running.origin.request.tier.rank, wasted, index};
 }
 
-RunIndex RunningTable::Add(Running running) {
+RunIndex RunningTable::Add(RunningRequest running) {
   const RequestId id = running.origin.request.id;
   const RunIndex index = running_.Add(std::move(running));
-  const Running& added = running_[index];
+  const RunningRequest& added = running_[index];
   by_id_.emplace(id, index);
   // A call of a plain service can't be cancelled once it runs.
   if (!added.demand.plain) {
     victims_.insert(KeyOf(added, index));
     deadlines_.insert({added.origin.request.deadline, index});
   }
-  if (!added.first_token) overdue_.insert({added.overdue, index});
+  if (!added.first_token) overdue_.insert({added.overdue_at, index});
   return index;
 }
 
-Running RunningTable::Remove(RunIndex index) {
-  const Running& removed = running_[index];
+RunningRequest RunningTable::Remove(RunIndex index) {
+  const RunningRequest& removed = running_[index];
   by_id_.erase(removed.origin.request.id);
   victims_.erase(KeyOf(removed, index));
   deadlines_.erase({removed.origin.request.deadline, index});
-  overdue_.erase({removed.overdue, index});
+  overdue_.erase({removed.overdue_at, index});
   return running_.Remove(index);
 }
 
@@ -41,50 +41,50 @@
 }
 
 void RunningTable::SetFirstToken(RunIndex index) {
-  Running& running = running_[index];
+  RunningRequest& running = running_[index];
   const bool listed = victims_.erase(KeyOf(running, index)) > 0;
-  overdue_.erase({running.overdue, index});
+  overdue_.erase({running.overdue_at, index});
   running.first_token = true;
   if (listed) victims_.insert(KeyOf(running, index));
 }
 
-void RunningTable::SetStreamed(RunIndex index, int tokens, absl::Time now) {
+void RunningTable::SetOutputTokens(RunIndex index, int tokens, absl::Time now) {
   running_[index].output_tokens = tokens;
-  running_[index].reported = now;
+  running_[index].last_report_at = now;
 }
 
 void RunningTable::SetDemand(RunIndex index, const Demand& demand) {
-  Running& running = running_[index];
+  RunningRequest& running = running_[index];
   const bool listed = victims_.erase(KeyOf(running, index)) > 0;
   running.demand = demand;
   if (listed) victims_.insert(KeyOf(running, index));
 }
 
-void RunningTable::SetOverdue(RunIndex index, absl::Time overdue) {
-  Running& running = running_[index];
-  overdue_.erase({running.overdue, index});
-  running.overdue = overdue;
-  overdue_.insert({overdue, index});
+void RunningTable::SetOverdueTime(RunIndex index, absl::Time overdue_at) {
+  RunningRequest& running = running_[index];
+  overdue_.erase({running.overdue_at, index});
+  running.overdue_at = overdue_at;
+  overdue_.insert({overdue_at, index});
 }
 
-void RunningTable::LetRun(RunIndex index) {
+void RunningTable::IgnoreDeadline(RunIndex index) {
   deadlines_.erase({running_[index].origin.request.deadline, index});
 }
 
-void RunningTable::SetCancelled(RunIndex index, WasteCause cause) {
-  Running& running = running_[index];
+void RunningTable::SetCancelCause(RunIndex index, WasteCause cause) {
+  RunningRequest& running = running_[index];
   victims_.erase(KeyOf(running, index));
   deadlines_.erase({running.origin.request.deadline, index});
-  overdue_.erase({running.overdue, index});
-  running.cancelled = cause;
+  overdue_.erase({running.overdue_at, index});
+  running.cancel_cause = cause;
 }
 
-RunIndex RunningTable::Overdue(absl::Time now) const {
+RunIndex RunningTable::FirstOverdue(absl::Time now) const {
   if (overdue_.empty() || overdue_.begin()->first > now) return kNoIndex;
   return overdue_.begin()->second;
 }
 
-absl::Time RunningTable::NextOverdue() const {
+absl::Time RunningTable::NextOverdueTime() const {
   if (overdue_.empty()) return absl::InfiniteFuture();
   return overdue_.begin()->first;
 }
@@ -93,12 +93,13 @@
   return deadlines_.empty() ? kNoIndex : deadlines_.begin()->second;
 }
 
-double ComputedPrefill(const Running& running, absl::Time now) {
+double ComputedPrefill(const RunningRequest& running, absl::Time now) {
   const double prefill = running.demand.prefill_tokens;
   if (running.first_token) return prefill;
   // Before the first token, assumes progress in proportion to elapsed time.
-  const double elapsed = absl::ToDoubleSeconds(now - running.granted);
-  const double predicted = std::max(0.001, running.predicted_first);
+  const double elapsed = absl::ToDoubleSeconds(now - running.granted_at);
+  const double predicted =
+      std::max(0.001, running.predicted_first_token_seconds);
   return prefill * std::clamp(elapsed / predicted, 0.0, 1.0);
 }
 
--- a/src/schedule/running.h
+++ b/src/schedule/running.h
@@ -21,51 +21,51 @@
 namespace gentianlb::schedule {
 
 // A request that was granted and is not known to be complete.
-struct Running {
+struct RunningRequest {
   Waiting origin;  // The queue entry; a retry queues it again.
   ServerIndex server = kNoIndex;
   Demand demand;
   double cached_tokens = 0;  // As predicted.
-  FirstTokenTime expected_first;
-  FirstTokenTime expected_uncached;  // If nothing is cached.
+  FirstTokenTime expected_first_token;
+  FirstTokenTime expected_first_token_uncached;  // If nothing is cached.
   // Predicted seconds to the first token if nothing is cached; of the whole
   // call for a plain service.
-  double predicted_first = 0;
-  absl::Time granted;
+  double predicted_first_token_seconds = 0;
+  absl::Time granted_at;
   bool first_token = false;
   int output_tokens = 0;
-  absl::Time reported;  // When output_tokens was last updated.
-  absl::Time overdue;   // When a missing first token becomes overdue.
+  absl::Time last_report_at;  // When output_tokens was last updated.
+  absl::Time overdue_at;      // When a missing first token becomes overdue.
   // Granted earlier by another dispatcher; the time of the grant is unknown.
   bool taken_over = false;
-  std::optional<WasteCause> cancelled;  // Set while being cancelled.
+  std::optional<WasteCause> cancel_cause;  // Set while being cancelled.
 };
 
 // Finds running requests by id, deadline, cancellation order and overdue time.
 class RunningTable {
  public:
-  RunIndex Add(Running running);
-  Running Remove(RunIndex index);
+  RunIndex Add(RunningRequest running);
+  RunningRequest Remove(RunIndex index);
 
   // Returns kNoIndex if unknown.
   RunIndex Find(const RequestId& id) const;
-  const Running& Get(RunIndex index) const { return running_[index]; }
+  const RunningRequest& Get(RunIndex index) const { return running_[index]; }
   std::size_t size() const { return running_.size(); }
 
   void SetFirstToken(RunIndex index);
-  void SetStreamed(RunIndex index, int tokens, absl::Time now);
+  void SetOutputTokens(RunIndex index, int tokens, absl::Time now);
   void SetDemand(RunIndex index, const Demand& demand);
-  void SetOverdue(RunIndex index, absl::Time overdue);
+  void SetOverdueTime(RunIndex index, absl::Time overdue_at);
   // Removes a request from the deadline order: it is late and may complete.
-  void LetRun(RunIndex index);
+  void IgnoreDeadline(RunIndex index);
   // Marks a request as being cancelled. It leaves all orders but still counts
   // as running until Remove().
-  void SetCancelled(RunIndex index, WasteCause cause);
+  void SetCancelCause(RunIndex index, WasteCause cause);
 
   // Returns the request whose first token is overdue longest; kNoIndex if none
   // is overdue at `now`.
-  RunIndex Overdue(absl::Time now) const;
-  absl::Time NextOverdue() const;
+  RunIndex FirstOverdue(absl::Time now) const;
+  absl::Time NextOverdueTime() const;
 
   // Returns the request to cancel first: lowest tier, then least prompt work
   // done. Considers at most `limit` requests with a rank greater than `above`
@@ -87,9 +87,9 @@
   // Negated tier rank, prompt tokens that a cancellation would waste, request.
   using VictimKey = std::tuple<int, int, RunIndex>;
 
-  static VictimKey KeyOf(const Running& running, RunIndex index);
+  static VictimKey KeyOf(const RunningRequest& running, RunIndex index);
 
-  Slab<Running> running_;
+  Slab<RunningRequest> running_;
   absl::flat_hash_map<RequestId, RunIndex> by_id_;
   // Requests that may be cancelled, in the order of cancellation. Calls of
   // plain services and requests being cancelled are left out, here and in
@@ -100,7 +100,7 @@
 };
 
 // Returns the prompt tokens that cancelling `running` now would waste.
-double ComputedPrefill(const Running& running, absl::Time now);
+double ComputedPrefill(const RunningRequest& running, absl::Time now);
 
 }  // namespace gentianlb::schedule
 
--- a/src/schedule/state.cc
+++ b/src/schedule/state.cc
@@ -72,11 +72,11 @@
 }
 
 void CancelRunning(State& state, RunIndex index, WasteCause cause) {
-  const Running& running = state.running.Get(index);
+  const RunningRequest& running = state.running.Get(index);
   const Request& request = running.origin.request;
   const LaneKey lane{request.tier, running.origin.pool};
   state.power.OnCancel(running.server, !running.first_token);
-  state.running.SetCancelled(index, cause);
+  state.running.SetCancelCause(index, cause);
   if (cause == WasteCause::kPreempted) ++state.preempting;
   Emit(state, Cancel{request.id, request.host, Code::kCancelledRunning,
                      ComeBackAfter(state, lane)});
