--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -16,7 +16,7 @@
 constexpr double kSlowSeconds = 0.25;
 
 void CutWindow(State& state, Server& server) {
-  if (server.window.Slow(state.now)) ++state.counters.window_cuts;
+  if (server.window.OnSlowResponse(state.now)) ++state.counters.window_cuts;
 }
 
 // Good or slow, by one answer and by what the server's answers are together.
@@ -25,7 +25,7 @@
 // their end, never seems full and never grows again.
 void Judge(State& state, Server& server, int running, bool slow) {
   if (slow || server.speed.straggling()) return CutWindow(state, server);
-  server.window.Good(state.now, running >= server.window.streams());
+  server.window.OnGoodResponse(state.now, running >= server.window.streams());
 }
 
 // Between the two expectations, it is the cache that was misjudged, not the
@@ -240,7 +240,7 @@
       if (running.first_token) {
         CutWindow(state, server);
       } else {
-        server.window.Failed(state.now);
+        server.window.OnFailure(state.now);
       }
       break;
     case EndKind::kCancelled:
@@ -253,7 +253,7 @@
       CutWindow(state, server);
       break;
     case EndKind::kNotSent:
-      server.window.Unreachable(state.now);
+      server.window.OnUnreachable(state.now);
       // A cancel was its final answer already.
       if (!running.cancel_cause) {
         Retry(state, std::move(running.origin), index_of_server);
--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -56,13 +56,13 @@
 
 BOOST_AUTO_TEST_CASE(WindowShrinksWithinSecondsAndRecovers) {
   Window window(32);
-  for (double t = 0; t < 4; t += 0.1) window.Slow(At(t));
+  for (double t = 0; t < 4; t += 0.1) window.OnSlowResponse(At(t));
   BOOST_TEST(window.streams() == 1);
   BOOST_TEST(window.probing());
-  BOOST_TEST(!window.OpenAt(At(4)));
-  for (double t = 10; t < 16; t += 0.1) window.Good(At(t), true);
+  BOOST_TEST(!window.IsOpen(At(4)));
+  for (double t = 10; t < 16; t += 0.1) window.OnGoodResponse(At(t), true);
   BOOST_TEST(window.streams() == 32);
-  BOOST_TEST(window.OpenAt(At(16)));
+  BOOST_TEST(window.IsOpen(At(16)));
 }
 
 BOOST_AUTO_TEST_CASE(FailedProbesIncreaseTheBackoff) {
@@ -70,8 +70,8 @@
   absl::Duration last_backoff;
   absl::Time now = At(0);
   for (int i = 0; i < 5; ++i) {
-    window.Granted();
-    window.Slow(now);
+    window.OnGrant();
+    window.OnSlowResponse(now);
     const absl::Duration backoff = window.closed_until() - now;
     BOOST_TEST((backoff > last_backoff));
     last_backoff = backoff;
@@ -310,15 +310,15 @@
 // server that fails every request looks idle and would attract all requests.
 BOOST_AUTO_TEST_CASE(ThreeFailuresInARowCloseTheWindow) {
   Window window(8);
-  window.Failed(At(0));
-  window.Failed(At(0));
-  window.Good(At(0), false);
-  window.Failed(At(1));
-  window.Failed(At(1));
-  BOOST_TEST(window.OpenAt(At(1)));
+  window.OnFailure(At(0));
+  window.OnFailure(At(0));
+  window.OnGoodResponse(At(0), false);
+  window.OnFailure(At(1));
+  window.OnFailure(At(1));
+  BOOST_TEST(window.IsOpen(At(1)));
   BOOST_TEST(window.streams() == 8);
-  window.Failed(At(1));
-  BOOST_TEST(!window.OpenAt(At(1)));
+  window.OnFailure(At(1));
+  BOOST_TEST(!window.IsOpen(At(1)));
 }
 
 // The speed of a server is not configured. A slow server must not count as a
--- a/src/schedule/server.cc
+++ b/src/schedule/server.cc
@@ -43,7 +43,7 @@
       spec.decode_tokens_per_second == changed.decode_tokens_per_second &&
       spec.speeds_guessed == changed.speeds_guessed;
   if (!same_speed) speed = SpeedEstimator(changed);
-  window.SetBound(changed.max_streams);
+  window.SetMaxStreams(changed.max_streams);
   spec = changed;
   configured = true;
 }
@@ -51,7 +51,7 @@
 void Server::Begin(const Demand& demand, absl::Time now) {
   ++running_;
   recent_grants_.Add(1, now);
-  window.Granted();
+  window.OnGrant();
   kv_tokens_ += demand.kv_tokens;
   if (prefilling_++ == 0) prefill_since_ = now;
   prefill_tokens_ += demand.prefill_tokens;
@@ -106,7 +106,7 @@
 }
 
 bool Server::Open(absl::Time now) const {
-  return configured && health == ServerHealth::kAlive && window.OpenAt(now) &&
+  return configured && health == ServerHealth::kAlive && window.IsOpen(now) &&
          FreeStreams(now) > 0 && PrefillFits(0);
 }
 
--- a/src/schedule/server_set.cc
+++ b/src/schedule/server_set.cc
@@ -131,7 +131,7 @@
 
   Unindex(index);
   IndexEntry& entry = entries_[index];
-  if (!server.window.OpenAt(now)) {
+  if (!server.window.IsOpen(now)) {
     entry.recheck_at = server.window.closed_until();
     rechecks_.insert({entry.recheck_at, index});
     return;
--- a/src/schedule/window.cc
+++ b/src/schedule/window.cc
@@ -26,13 +26,13 @@
       size_(max_streams_),
       backoff_(kInitialBackoff) {}
 
-void Window::SetBound(int max_streams) {
+void Window::SetMaxStreams(int max_streams) {
   const bool at_max = size_ >= max_streams_;
   max_streams_ = std::max(1, max_streams);
   size_ = at_max ? max_streams_ : std::min<double>(size_, max_streams_);
 }
 
-void Window::Good(absl::Time now, bool full) {
+void Window::OnGoodResponse(absl::Time now, bool full) {
   // A good response shows that the server has recovered.
   probing_ = false;
   failures_ = 0;
@@ -44,7 +44,7 @@
                            std::max(size_ * kIncreaseFactor, size_ + 1));
 }
 
-bool Window::Slow(absl::Time now) {
+bool Window::OnSlowResponse(absl::Time now) {
   if (now < last_decrease_ + kDecreaseInterval) return false;
   last_decrease_ = now;
   if (size_ * kDecreaseFactor < 1) Close(now);
@@ -52,16 +52,16 @@
   return true;
 }
 
-void Window::Unreachable(absl::Time now) {
+void Window::OnUnreachable(absl::Time now) {
   size_ = 1;
   Close(now);
 }
 
-void Window::Failed(absl::Time now) {
+void Window::OnFailure(absl::Time now) {
   // Three failures in a row are unlikely by chance, even if two of five calls
   // fail.
   constexpr int kMaxConsecutiveFailures = 3;
-  if (probing_ || ++failures_ >= kMaxConsecutiveFailures) Unreachable(now);
+  if (probing_ || ++failures_ >= kMaxConsecutiveFailures) OnUnreachable(now);
 }
 
 void Window::Close(absl::Time now) {
--- a/src/schedule/window.h
+++ b/src/schedule/window.h
@@ -23,32 +23,32 @@
   explicit Window(int max_streams);
 
   // Sets the maximum. A window that was reduced before stays reduced.
-  void SetBound(int max_streams);
+  void SetMaxStreams(int max_streams);
 
   // Returns the maximum number of streams.
   int streams() const { return static_cast<int>(size_); }
 
   // Records a response in time. `full`: whether all streams of the window were
   // in use; only then the window grows.
-  void Good(absl::Time now, bool full);
+  void OnGoodResponse(absl::Time now, bool full);
 
   // Records a slow response or an overdue first token. Returns whether the
   // window was reduced.
-  bool Slow(absl::Time now);
+  bool OnSlowResponse(absl::Time now);
 
   // Records that no connection could be established. Closes the window.
-  void Unreachable(absl::Time now);
+  void OnUnreachable(absl::Time now);
 
   // Records a failed request. Some calls fail on any server, so only several
   // failures in a row, or a failed probe, close the window.
-  void Failed(absl::Time now);
+  void OnFailure(absl::Time now);
 
   // Records that a request was granted. Only then a further slow response
   // doubles the backoff.
-  void Granted() { granted_since_close_ = true; }
+  void OnGrant() { granted_since_close_ = true; }
 
   // Returns whether the window is not closed at `now`.
-  bool OpenAt(absl::Time now) const { return now >= closed_until_; }
+  bool IsOpen(absl::Time now) const { return now >= closed_until_; }
   absl::Time closed_until() const { return closed_until_; }
 
   // Returns whether the next request is a probe.
