--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -52,7 +52,7 @@
            kSlowFactor * running.predicted_first_token_seconds + kSlowSeconds;
   }
   // Its prompt is computed: prompt room and watts are free for others.
-  server.FirstToken(running.demand, state.now);
+  server.OnFirstToken(running.demand, state.now);
   state.power.OnFirstToken(running.server, running.cancel_cause.has_value());
   state.running.SetFirstToken(index);
   Judge(state, server, server.running(), slow);
@@ -78,7 +78,8 @@
       CorrectEstimate(running.origin.output, tokens, request.max_output_tokens);
   const std::int64_t needed = request.prompt_tokens + output.p90;
   if (needed <= running.demand.kv_tokens) return;
-  state.servers.at(running.server).AddMemory(needed - running.demand.kv_tokens);
+  state.servers.at(running.server)
+      .ReserveMemory(needed - running.demand.kv_tokens);
   Demand demand = running.demand;
   demand.kv_tokens = needed;
   state.running.SetDemand(index, demand);
@@ -87,7 +88,7 @@
 // Frees what `running` held, whatever its end.
 void Release(State& state, const RunningRequest& running) {
   Server& server = state.servers.at(running.server);
-  server.End(running.demand, running.first_token, state.now);
+  server.OnFinish(running.demand, running.first_token, state.now);
   state.power.RemoveStream(running.server, !running.first_token,
                            running.cancel_cause.has_value());
   state.limits.RemoveRunning(running.origin.workspace);
@@ -183,10 +184,10 @@
   if (running.taken_over) running.overdue_at = absl::InfiniteFuture();
 
   Server& target = state.servers.at(server);
-  target.Begin(running.demand, state.now);
+  target.OnGrant(running.demand, state.now);
   state.power.AddStream(server, /*prefilling=*/true);
   if (running.first_token) {
-    target.FirstToken(running.demand, state.now);
+    target.OnFirstToken(running.demand, state.now);
     state.power.OnFirstToken(server, /*cancelling=*/false);
   }
   state.limits.AddRunning(workspace);
@@ -228,7 +229,7 @@
   switch (event.kind) {
     case EndKind::kComplete:
       ++state.counters.completed;
-      server.CountEnd(/*failed=*/false);
+      server.RecordOutcome(/*failed=*/false);
       CountPrefill(state, running, event);
       LearnFromAnswer(state, running, event);
       break;
@@ -236,7 +237,7 @@
       CountPrefill(state, running, event);
       // A server that breaks everything at once looks idle and would draw all
       // work to itself.
-      server.CountEnd(/*failed=*/true);
+      server.RecordOutcome(/*failed=*/true);
       if (running.first_token) {
         CutWindow(state, server);
       } else {
@@ -249,7 +250,7 @@
       break;
     case EndKind::kShed:
       ++state.counters.shed_by_server;
-      server.CountEnd(/*failed=*/true);
+      server.RecordOutcome(/*failed=*/true);
       CutWindow(state, server);
       break;
     case EndKind::kNotSent:
--- a/src/schedule/dispatcher.cc
+++ b/src/schedule/dispatcher.cc
@@ -80,13 +80,13 @@
   void operator()(const TokensStreamed& event) { Streamed(state, event); }
   void operator()(const RequestEnded& event) { Ended(state, event); }
   void operator()(const LoadReported& event) {
-    LearnLoad<&Server::Report>(state, event);
+    LearnLoad<&Server::OnLoadReport>(state, event);
   }
   void operator()(const LoadAnswered& event) {
-    LearnLoad<&Server::Answered>(state, event);
+    LearnLoad<&Server::OnResponseLoad>(state, event);
   }
   void operator()(const LoadElsewhere& event) {
-    LearnLoad<&Server::Elsewhere>(state, event);
+    LearnLoad<&Server::OnPeerLoad>(state, event);
   }
   void operator()(const PaceElsewhere& event) { LearnPace(state, event); }
   void operator()(const CacheChanged& event) {
@@ -178,7 +178,7 @@
   int free = 0;
   for (ServerIndex i = 0; i < state_->servers.size(); ++i) {
     const Server& server = state_->servers.at(i);
-    if (server.Open(state_->now)) free += server.FreeStreams(state_->now);
+    if (server.IsOpen(state_->now)) free += server.FreeStreams(state_->now);
   }
   return free;
 }
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -234,7 +234,7 @@
   RunningRequest running = BeginOn(state_, std::move(waiting), placement.server,
                                    demand, placement.cached_tokens);
   const Waiting& origin = running.origin;
-  server.Begin(demand, now);
+  server.OnGrant(demand, now);
   state_.power.AddStream(placement.server, /*prefilling=*/true);
   state_.cache.OnGrant(placement.server, origin.marks,
                        demand.prefill_tokens + origin.output.median, now);
--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -102,14 +102,14 @@
   spec.max_streams = 10;
   spec.alike = 2;
   Server server(spec);
-  server.Elsewhere({ServerId("s"), 6}, At(0));
+  server.OnPeerLoad({ServerId("s"), 6}, At(0));
   BOOST_TEST(server.FreeStreams(At(0)) == 4);
-  server.Begin({}, At(0));
+  server.OnGrant({}, At(0));
   BOOST_TEST(server.FreeStreams(At(0)) == 1);
   BOOST_TEST(server.FreeStreams(At(1)) == 3);
   spec.alike = 0;
   Server alone(spec);
-  alone.Begin({}, At(0));
+  alone.OnGrant({}, At(0));
   BOOST_TEST(alone.FreeStreams(At(0)) == 9);
 }
 
--- a/src/schedule/placer.cc
+++ b/src/schedule/placer.cc
@@ -190,7 +190,7 @@
   if (std::find(pools.begin(), pools.end(), waiting.pool) == pools.end()) {
     return;  // Has the prefix cached for another model.
   }
-  if (!server.Open(criteria.now)) return;
+  if (!server.IsOpen(criteria.now)) return;
   const int reserved =
       static_cast<int>(criteria.reserves.streams * server.window.streams());
   if (server.FreeStreams(criteria.now) <= reserved && server.running() > 0) {
--- a/src/schedule/server.cc
+++ b/src/schedule/server.cc
@@ -48,7 +48,7 @@
   configured = true;
 }
 
-void Server::Begin(const Demand& demand, absl::Time now) {
+void Server::OnGrant(const Demand& demand, absl::Time now) {
   ++running_;
   recent_grants_.Add(1, now);
   window.OnGrant();
@@ -58,21 +58,21 @@
   UpdatePeak(now);
 }
 
-void Server::FirstToken(const Demand& demand, absl::Time now) {
+void Server::OnFirstToken(const Demand& demand, absl::Time now) {
   prefilling_ = std::max(0, prefilling_ - 1);
   prefill_tokens_ = std::max(0.0, prefill_tokens_ - demand.prefill_tokens);
   if (prefilling_ == 0) prefill_tokens_ = 0;
   prefill_since_ = now;
 }
 
-void Server::End(const Demand& demand, bool first_token, absl::Time now) {
-  if (!first_token) FirstToken(demand, now);
+void Server::OnFinish(const Demand& demand, bool first_token, absl::Time now) {
+  if (!first_token) OnFirstToken(demand, now);
   UpdatePeak(now);
   running_ = std::max(0, running_ - 1);
   kv_tokens_ = std::max<std::int64_t>(0, kv_tokens_ - demand.kv_tokens);
 }
 
-void Server::CountEnd(bool failed) {
+void Server::RecordOutcome(bool failed) {
   // About 10 requests are enough to detect a server that fails 2 of 5.
   constexpr double kWeight = 0.1;
   failure_rate_ += kWeight * ((failed ? 1 : 0) - failure_rate_);
@@ -86,33 +86,33 @@
   return seconds * (1 + kFailureCostFactor * failure_rate_);
 }
 
-void Server::Report(const LoadReported& report, absl::Time now) {
+void Server::OnLoadReport(const LoadReported& report, absl::Time now) {
   if (report.measured < peer_streams_measured_) return;  // Out of order.
   UpdatePeak(now);
   peer_streams_measured_ = report.measured;
   peer_streams_ = std::max(0, report.running + report.queued - OwnPeak());
 }
 
-void Server::Answered(const LoadAnswered& load, absl::Time now) {
+void Server::OnResponseLoad(const LoadAnswered& load, absl::Time now) {
   peer_streams_measured_ = now;
   peer_streams_ = std::max(0, load.running + load.queued - running_);
   peer_batch_streams_ = std::max(0, load.running - running_);
 }
 
-void Server::Elsewhere(const LoadElsewhere& load, absl::Time now) {
+void Server::OnPeerLoad(const LoadElsewhere& load, absl::Time now) {
   peer_streams_measured_ = now;
   peer_streams_ = load.running;
   peer_batch_streams_ = load.running;
 }
 
-bool Server::Open(absl::Time now) const {
+bool Server::IsOpen(absl::Time now) const {
   return configured && health == ServerHealth::kAlive && window.IsOpen(now) &&
          FreeStreams(now) > 0 && PrefillFits(0);
 }
 
 int Server::FreeStreams(absl::Time now) const {
   const int bound = std::min(window.streams(), spec.max_streams);
-  return bound - running_ - ForeignStreams(now) - UnreportedStreams(now);
+  return bound - running_ - PeerStreams(now) - UnreportedStreams(now);
 }
 
 int Server::UnreportedStreams(absl::Time now) const {
@@ -160,7 +160,7 @@
                                   running_);
 }
 
-int Server::ForeignStreams(absl::Time now) const {
+int Server::PeerStreams(absl::Time now) const {
   return now - peer_streams_measured_ < kMaxReportAge ? peer_streams_ : 0;
 }
 
--- a/src/schedule/server.h
+++ b/src/schedule/server.h
@@ -43,25 +43,25 @@
 
   // --- Events ---
   // Adds a granted request.
-  void Begin(const Demand& demand, absl::Time now);
+  void OnGrant(const Demand& demand, absl::Time now);
   // Records that the prompt of a request is computed.
-  void FirstToken(const Demand& demand, absl::Time now);
+  void OnFirstToken(const Demand& demand, absl::Time now);
   // Increases the memory reserved for running streams.
-  void AddMemory(std::int64_t kv_tokens) { kv_tokens_ += kv_tokens; }
+  void ReserveMemory(std::int64_t kv_tokens) { kv_tokens_ += kv_tokens; }
   // Removes a request. `first_token`: whether FirstToken() was called for it.
-  void End(const Demand& demand, bool first_token, absl::Time now);
+  void OnFinish(const Demand& demand, bool first_token, absl::Time now);
   // Updates the failure rate by one completed request.
-  void CountEnd(bool failed);
+  void RecordOutcome(bool failed);
   // Updates the streams of other dispatchers from the server's load report.
-  void Report(const LoadReported& report, absl::Time now);
+  void OnLoadReport(const LoadReported& report, absl::Time now);
   // Updates them from the load sent with a response of the server.
-  void Answered(const LoadAnswered& load, absl::Time now);
+  void OnResponseLoad(const LoadAnswered& load, absl::Time now);
   // Updates them from what the other dispatchers publish.
-  void Elsewhere(const LoadElsewhere& load, absl::Time now);
+  void OnPeerLoad(const LoadElsewhere& load, absl::Time now);
 
   // --- Free capacity ---
   // Returns whether the server can take any request now.
-  bool Open(absl::Time now) const;
+  bool IsOpen(absl::Time now) const;
   // Returns the number of streams that may still be granted; may be negative.
   int FreeStreams(absl::Time now) const;
   // Returns whether the prompt work fits within the admission limit.
@@ -83,7 +83,7 @@
 
   int running() const { return running_; }
   // Returns the number of streams of other dispatchers, 0 if not known.
-  int ForeignStreams(absl::Time now) const;
+  int PeerStreams(absl::Time now) const;
   // Returns the number of streams without a first token.
   int prefilling() const { return prefilling_; }
 
--- a/src/schedule/server_set.cc
+++ b/src/schedule/server_set.cc
@@ -120,7 +120,7 @@
 void ServerSet::Reindex(ServerIndex index, absl::Time now) {
   const Server& server = servers_[index];
   const bool probing = server.window.probing();
-  const bool open = server.Open(now);
+  const bool open = server.IsOpen(now);
   // A server that is due for a probe goes to the front with key 0. Otherwise it
   // would get no request while other servers have free capacity.
   double key = 0;
@@ -168,7 +168,7 @@
   for (const ServerIndex index : pools_[pool].servers) {
     const Server& server = servers_[index];
     own += server.running();
-    all += server.running() + server.ForeignStreams(now);
+    all += server.running() + server.PeerStreams(now);
   }
   return (own + 1.0) / (all + 1.0);
 }
