--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -21,8 +21,7 @@
   return absl::UnixEpoch() + absl::Seconds(seconds);
 }
 
-// --- Output estimates
-// ---------------------------------------------------------------
+// --- Output estimates --------------------------------------------------------
 
 // One workspace sends long drafts and short tags. With one estimate for both,
 // each tag would reserve as much memory as a draft.
@@ -135,8 +134,8 @@
   BOOST_TEST(ledger.MustCancel());
   ledger.OnCancel(0, true);
   BOOST_TEST(!ledger.MustCancel());
-  BOOST_TEST(ledger.worst_case_watts() ==
-             220);  // The request may still be running.
+  // The cancelled request may still be running.
+  BOOST_TEST(ledger.worst_case_watts() == 220);
   BOOST_TEST(!ledger.Fits(0, 0));
   ledger.RemoveStream(0, true, true);
   ledger.OnFirstToken(0, false);
@@ -149,7 +148,7 @@
 // as slow prefill, the prediction for a long prompt would rise to half a
 // second, and it would be refused although the engine could have started it in
 // time.
-BOOST_AUTO_TEST_CASE(QueueingOfShortPromptsDoesNotSlowLongPrompts) {
+BOOST_AUTO_TEST_CASE(QueueingOfShortPromptsDoesNotAffectLongPrompts) {
   ServerSpec spec;
   spec.prefill_tokens_per_second = 100000;
   spec.decode_tokens_per_second = 200;
@@ -215,7 +214,7 @@
 
 // Cache events are lost. Without a lower probability for all entries, requests
 // would be sent to servers that have evicted the blocks.
-BOOST_AUTO_TEST_CASE(LostEventsReduceTheCachedProbability) {
+BOOST_AUTO_TEST_CASE(LostEventsReduceTheRetentionProbability) {
   PrefixCacheFixture fixture;
   fixture.cache.OnCacheEvent(0, {.sequence = 1, .added = Chain(100)}, At(1));
   BOOST_TEST(fixture.Cached(0, 1) == 6400);
