--- a/src/schedule/counters.h
+++ b/src/schedule/counters.h
@@ -37,8 +37,8 @@
   // request of a lower tier was waiting. Expected to stay 0.
   std::uint64_t inversions = 0;
   double prefill_computed = 0;  // Tokens, predicted or reported.
-  std::array<double, kNumWasteCauses>
-      prefill_wasted{};              // Tokens, by WasteCause.
+  // Prompt tokens, indexed by WasteCause.
+  std::array<double, kNumWasteCauses> prefill_wasted{};
   std::uint64_t shed_by_server = 0;  // Rejected by a full server.
   std::uint64_t window_cuts = 0;     // Reductions of a concurrency window.
   std::uint64_t overdue_first_tokens = 0;  // First tokens found overdue.
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -92,7 +92,7 @@
   std::vector<ServerIndex> held_;  // Kept from everybody behind.
   std::vector<WaitIndex> heads_;
   LaneBlock block_;  // Of the lane that is tried.
-  const std::vector<ServerIndex>* only_ = nullptr;  // See Search.
+  const std::vector<ServerIndex>* only_ = nullptr;  // See SearchScope.
   bool no_room_ = false;
   bool late_only_ = false;  // All heads were tried, and are too slow.
   bool power_out_ = false;
--- a/src/schedule/index.h
+++ b/src/schedule/index.h
@@ -29,20 +29,20 @@
  public:
   // Returns the index of `name`; adds the name if it is new.
   std::uint32_t Intern(const Name& name) {
-    const auto next = static_cast<std::uint32_t>(numbers_.size());
-    return numbers_.try_emplace(name, next).first->second;
+    const auto next = static_cast<std::uint32_t>(indexes_.size());
+    return indexes_.try_emplace(name, next).first->second;
   }
   // Returns the index of `name`, or kNoIndex if it was never interned.
   std::uint32_t Find(const Name& name) const {
-    const auto found = numbers_.find(name);
-    return found == numbers_.end() ? kNoIndex : found->second;
+    const auto found = indexes_.find(name);
+    return found == indexes_.end() ? kNoIndex : found->second;
   }
   std::uint32_t size() const {
-    return static_cast<std::uint32_t>(numbers_.size());
+    return static_cast<std::uint32_t>(indexes_.size());
   }
 
  private:
-  absl::flat_hash_map<Name, std::uint32_t> numbers_;
+  absl::flat_hash_map<Name, std::uint32_t> indexes_;
 };
 
 // Stores items under stable indexes; indexes of removed items are reused.
--- a/src/schedule/output_estimator.cc
+++ b/src/schedule/output_estimator.cc
@@ -36,14 +36,15 @@
 constexpr double kOptimisticFactor = 0.5;
 constexpr double kOptimisticDefaultFactor = 0.05;
 
-int Bounded(double tokens, int bound) {
+// Rounds `tokens` to at least 1 and at most `bound`; 0 means no limit.
+int Clamp(double tokens, int bound) {
   const int rounded = std::max(1, static_cast<int>(std::lround(tokens)));
   return bound > 0 ? std::min(rounded, bound) : rounded;
 }
 
-OutputEstimate Bounded(const OutputEstimate& estimate, int bound) {
-  return {.median = Bounded(estimate.median, bound),
-          .p90 = Bounded(estimate.p90, bound),
+OutputEstimate Clamp(const OutputEstimate& estimate, int bound) {
+  return {.median = Clamp(estimate.median, bound),
+          .p90 = Clamp(estimate.p90, bound),
           .learnt = estimate.learnt};
 }
 
@@ -68,8 +69,8 @@
 std::optional<OutputEstimate> LengthSketch::Quantiles() const {
   if (current_count_ < kMinSamples) return previous_;
   const auto quantiles = boost::accumulators::extended_p_square(current_);
-  const int median = Bounded(quantiles[0], 0);
-  const int p90 = std::max(median, Bounded(quantiles[1], 0));
+  const int median = Clamp(quantiles[0], 0);
+  const int p90 = std::max(median, Clamp(quantiles[1], 0));
   return OutputEstimate{.median = median, .p90 = p90, .learnt = true};
 }
 
@@ -90,14 +91,14 @@
     // stay below three times the estimate.
     constexpr double kHintSpread = 3;
     const int hint = request.expected_output_tokens;
-    return Bounded(OutputEstimate{.median = hint,
-                                  .p90 = Bounded(hint * kHintSpread, 0),
-                                  .learnt = true},
-                   bound);
+    return Clamp(OutputEstimate{.median = hint,
+                                .p90 = Clamp(hint * kHintSpread, 0),
+                                .learnt = true},
+                 bound);
   }
   const auto found = sketches_.find(KeyOf(request, workspace));
   if (found != sketches_.end()) {
-    if (const auto own = found->second.Quantiles()) return Bounded(*own, bound);
+    if (const auto own = found->second.Quantiles()) return Clamp(*own, bound);
   }
   // For a new kind of request, the caller's output limit predicts the length
   // better than other requests of the service do.
@@ -132,11 +133,11 @@
                                int bound) {
   if (streamed < estimate.median) return estimate;
   const int extended =
-      std::max(estimate.p90, Bounded(streamed * kOverrunFactor, bound));
+      std::max(estimate.p90, Clamp(streamed * kOverrunFactor, bound));
   if (streamed < estimate.p90) {
     return {estimate.p90, estimate.p90, estimate.learnt};
   }
-  return Bounded(OutputEstimate{.median = extended, .p90 = extended}, bound);
+  return Clamp(OutputEstimate{.median = extended, .p90 = extended}, bound);
 }
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/placer.cc
+++ b/src/schedule/placer.cc
@@ -34,7 +34,7 @@
 constexpr absl::Duration kMaxCacheWait = absl::Seconds(120);
 constexpr absl::Duration kMaxTopTierCacheWait = absl::Seconds(30);
 
-// A request waits only if the best server has at least this many more prompt
+// A request waits only if the best server has more than this many more prompt
 // tokens cached, about 0.1 s of prefill, and the candidate has less than this
 // fraction of them.
 constexpr double kMinTokensToWaitFor = 512;
--- a/src/schedule/power_ledger.h
+++ b/src/schedule/power_ledger.h
@@ -6,12 +6,13 @@
 // every host would fill the idle servers it sees, and the site would exceed its
 // cap.
 //
-// Worst case of one server with n streams granted and not known to be complete:
+// Worst case of one server with n streams granted and not known to have
+// finished:
 //   idle + n * watts_per_stream
 //        + joules_per_prefill_token * prefill_tokens_per_second
 // where the last term counts while any of the n streams has no first token yet,
 // because a prefill may then run at full speed. A cancelled request counts as
-// running until its completion is reported. Sums are integers in milliwatts:
+// running until it is reported as finished. Sums are integers in milliwatts:
 // rounding errors of floating-point sums would accumulate over days and violate
 // the bound.
 
@@ -58,7 +59,7 @@
   }
 
   // Returns whether the share is exceeded even when all requests that are being
-  // cancelled have completed.
+  // cancelled have finished.
   bool MustCancel() const { return after_cancels_ > share_ && streams_ > 0; }
 
  private:
--- a/src/schedule/running.h
+++ b/src/schedule/running.h
@@ -1,4 +1,4 @@
-// The requests that were granted and are not known to be complete. Ordered
+// The requests that were granted and are not known to have finished. Ordered
 // indexes find the next request to cancel, the next deadline and the next
 // overdue first token without a scan.
 
@@ -20,7 +20,7 @@
 
 namespace gentianlb::schedule {
 
-// A request that was granted and is not known to be complete.
+// A request that was granted and is not known to have finished.
 struct RunningRequest {
   Waiting origin;  // The queue entry; a retry queues it again.
   ServerIndex server = kNoIndex;
@@ -56,7 +56,7 @@
   void SetOutputTokens(RunIndex index, int tokens, absl::Time now);
   void SetDemand(RunIndex index, const Demand& demand);
   void SetOverdueTime(RunIndex index, absl::Time overdue_at);
-  // Removes a request from the deadline order: it is late and may complete.
+  // Removes a request from the deadline order: it is late but keeps running.
   void IgnoreDeadline(RunIndex index);
   // Marks a request as being cancelled. It leaves all orders but still counts
   // as running until Remove().
--- a/src/schedule/server.h
+++ b/src/schedule/server.h
@@ -1,5 +1,5 @@
 // State of one backend server in the dispatcher: its configuration, the
-// requests granted to it and not yet complete, and what is learnt from its
+// requests granted to it and not yet finished, and what is learnt from its
 // responses.
 //
 // Prefill and decode are counted separately. Prompts are computed one after the
@@ -48,9 +48,9 @@
   void OnFirstToken(const Demand& demand, absl::Time now);
   // Increases the memory reserved for running streams.
   void ReserveMemory(std::int64_t kv_tokens) { kv_tokens_ += kv_tokens; }
-  // Removes a request. `first_token`: whether FirstToken() was called for it.
+  // Removes a request. `first_token`: whether OnFirstToken() was called for it.
   void OnFinish(const Demand& demand, bool first_token, absl::Time now);
-  // Updates the failure rate by one completed request.
+  // Updates the failure rate by one finished request.
   void RecordOutcome(bool failed);
   // Updates the streams of other dispatchers from the server's load report.
   void OnLoadReport(const LoadReported& report, absl::Time now);
--- a/src/schedule/server_set.cc
+++ b/src/schedule/server_set.cc
@@ -17,8 +17,8 @@
                                    .plain = false};
 
 // A server that seems slow gets no work, and without work its measured speed is
-// never updated. So the measured slowdown of an idle server is halved after
-// each of these intervals.
+// never updated. So the measured slowdown of an idle server decays once per
+// interval.
 constexpr absl::Duration kRecheckInterval = absl::Seconds(1);
 
 // Relative change of the key below which a server keeps its place in the index.
--- a/src/schedule/server_set.h
+++ b/src/schedule/server_set.h
@@ -68,8 +68,8 @@
   // granted. Counts the streams of other dispatchers only where they are known.
   double OwnShare(PoolIndex pool, absl::Time now) const;
 
-  // Returns when the next closed server may be probed, or the measured slowdown
-  // of the next idle server is halved; InfiniteFuture() if never.
+  // Returns when the next closed server may be probed or the slowdown of the
+  // next idle server decays; InfiniteFuture() if never.
   absl::Time NextRecheckTime() const;
   // Rechecks the servers that are due. Returns whether there were any.
   bool RecheckDue(absl::Time now);
--- a/src/schedule/signature.cc
+++ b/src/schedule/signature.cc
@@ -16,9 +16,10 @@
   return XXH3_64bits_withSeed(&number, sizeof(number), value);
 }
 
-std::uint64_t MixEnd(std::uint64_t value, Code code, absl::Duration after) {
+std::uint64_t MixOutcome(std::uint64_t value, Code code,
+                         absl::Duration retry_after) {
   value = Mix(value, static_cast<std::int64_t>(code));
-  return Mix(value, absl::ToInt64Nanoseconds(after));
+  return Mix(value, absl::ToInt64Nanoseconds(retry_after));
 }
 
 }  // namespace
@@ -32,11 +33,11 @@
   } else if (const auto* refuse = std::get_if<Refuse>(&decision)) {
     value_ = Mix(value_, refuse->id.str());
     value_ = Mix(value_, refuse->host.str());
-    value_ = MixEnd(value_, refuse->code, refuse->retry_after);
+    value_ = MixOutcome(value_, refuse->code, refuse->retry_after);
   } else if (const auto* cancel = std::get_if<Cancel>(&decision)) {
     value_ = Mix(value_, cancel->id.str());
     value_ = Mix(value_, cancel->host.str());
-    value_ = MixEnd(value_, cancel->code, cancel->retry_after);
+    value_ = MixOutcome(value_, cancel->code, cancel->retry_after);
   }
 }
 
--- a/src/schedule/speed_estimator.h
+++ b/src/schedule/speed_estimator.h
@@ -71,8 +71,8 @@
   // computed before it.
   double FirstTokenSeconds(double prefill_tokens, int streams) const;
 
-  // Returns the expected time that AddFirstToken() compares a measurement with.
-  // Must be called when the request is sent.
+  // Returns the expected time that AddFirstTokenSample() compares a measurement
+  // with. Must be called when the request is sent.
   FirstTokenTime ExpectedFirstToken(double prefill_tokens, int streams) const;
   // Returns `expected` as a total in seconds.
   double TotalSeconds(const FirstTokenTime& expected) const;
