--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -59,8 +59,8 @@
  public:
   explicit Round(State& state)
       : state_(state),
-        placer_(state.options.weights, state.fleet, state.power, state.cache),
-        closed_pools_(state.fleet.pools(), false) {}
+        placer_(state.options.weights, state.servers, state.power, state.cache),
+        closed_pools_(state.servers.pools(), false) {}
 
   void Run();
 
@@ -92,7 +92,7 @@
   std::vector<ServerIndex> held_;  // Kept from everybody behind.
   std::vector<WaitIndex> heads_;
   LaneBlock block_;  // Of the lane that is tried.
-  const std::vector<ServerIndex>* only_ = nullptr;  // See Search.
+  const std::vector<ServerIndex>* only_ = nullptr;  // See SearchScope.
   bool no_room_ = false;
   bool late_only_ = false;  // All heads were tried, and are too slow.
   bool power_out_ = false;
@@ -161,40 +161,40 @@
   block_ = {};
   if (state_.queue.LaneEmpty(lane)) return false;
   state_.queue.Heads(lane, kHeadsTried, &heads_);
-  const Search search{.closed_pools = &closed_pools_,
-                      .held = &held_,
-                      .only = only_,
-                      .contended = state_.queue.LaneSize(lane) > 1,
-                      .hopeful = hopeful};
+  const SearchScope search{.closed_pools = &closed_pools_,
+                           .held_servers = &held_,
+                           .only_servers = only_,
+                           .contended = state_.queue.LaneSize(lane) > 1,
+                           .optimistic = hopeful};
   bool urgent = false;
   for (const WaitIndex index : heads_) {
     const Waiting& waiting = state_.queue.Get(index);
     if (hopeful && state_.now < waiting.urgent_at) continue;
     const Placement placement = placer_.Place(
         waiting, ReservesFor(state_, waiting), search, state_.now);
-    switch (placement.hindrance) {
-      case Hindrance::kNone:
+    switch (placement.reason) {
+      case BlockReason::kNone:
         Grant(index, placement);
         return true;
-      case Hindrance::kNoRoom:
+      case BlockReason::kNoCapacity:
         no_room_ = true;
         block_.pool = true;
         Preempt(state_, index, /*for_power=*/false);
         return false;
-      case Hindrance::kNoPower:
+      case BlockReason::kNoPower:
         power_out_ = true;
         Preempt(state_, index, /*for_power=*/true);
         return false;
-      case Hindrance::kReserved:
+      case BlockReason::kReserved:
         block_.pool = true;
         Preempt(state_, index, /*for_power=*/false);
         // What is kept from a short one is kept from all behind it.
         if (!waiting.is_long) return false;
         break;
-      case Hindrance::kTooLarge:
+      case BlockReason::kTooLarge:
         Hold(index, placement);
         break;
-      case Hindrance::kTooSlow:
+      case BlockReason::kTooSlow:
         urgent |= state_.now >= waiting.urgent_at;
         break;
     }
@@ -220,60 +220,62 @@
   // Before it is taken out, as the backlog may end with it.
   state_.lane_drains.at({head.request.tier, head.pool}).Granted(head.work, now);
   Waiting waiting = RemoveWaiting(state_, index);
-  Server& server = state_.fleet.at(placement.server);
+  Server& server = state_.servers.at(placement.server);
   const Demand& demand = placement.demand;
 
   // The turn, the rate and the drain are paid with the estimate; the end of the
   // request corrects the first.
   state_.queue.Charge(waiting);
-  state_.limits.Runs(waiting.workspace);
+  state_.limits.AddRunning(waiting.workspace);
   state_.limits.Charge(waiting.workspace,
                        waiting.request.prompt_tokens + waiting.output.median);
   state_.drains[waiting.pool].Granted(waiting.work, now);
 
-  Running running = BeginOn(state_, std::move(waiting), placement.server,
-                            demand, placement.cached_tokens);
+  RunningRequest running = BeginOn(state_, std::move(waiting), placement.server,
+                                   demand, placement.cached_tokens);
   const Waiting& origin = running.origin;
-  server.Begin(demand, now);
-  state_.power.Begin(placement.server, /*prefilling=*/true);
-  state_.cache.Granted(placement.server, origin.marks,
+  server.OnGrant(demand, now);
+  state_.power.AddStream(placement.server, /*prefilling=*/true);
+  state_.cache.OnGrant(placement.server, origin.marks,
                        demand.prefill_tokens + origin.output.median, now);
   const schedule::Grant decision{origin.request.id, origin.request.host,
                                  server.spec.id};
   state_.running.Add(std::move(running));
-  state_.fleet.Reindex(placement.server, now);
+  state_.servers.Reindex(placement.server, now);
   ++state_.counters.granted;
   Emit(state_, decision);
 }
 
 }  // namespace
 
-Running BeginOn(const State& state, Waiting waiting, ServerIndex index,
-                const Demand& demand, double cached_tokens) {
-  const Server& server = state.fleet.at(index);
+RunningRequest BeginOn(const State& state, Waiting waiting, ServerIndex index,
+                       const Demand& demand, double cached_tokens) {
+  const Server& server = state.servers.at(index);
   const absl::Time now = state.now;
-  Running running;
+  RunningRequest running;
   running.server = index;
   running.demand = demand;
   running.cached_tokens = cached_tokens;
-  running.expected_first =
+  running.expected_first_token =
       server.ExpectedFirstToken(demand.prefill_tokens, now);
   // A prefix that was evicted unseen must not look like a slow server.
   const double prompt = waiting.request.prompt_tokens;
-  running.expected_uncached = server.ExpectedFirstToken(prompt, now);
-  running.predicted_first = demand.plain
-                                ? server.pace.CallSeconds()
-                                : server.FirstTokenSeconds(prompt, now);
-  running.granted = now;
-  running.reported = now;
+  running.expected_first_token_uncached =
+      server.ExpectedFirstToken(prompt, now);
+  running.predicted_first_token_seconds =
+      demand.plain ? server.speed.CallSeconds()
+                   : server.FirstTokenSeconds(prompt, now);
+  running.granted_at = now;
+  running.last_report_at = now;
   // A call of a plain service shows nothing before its end, and may take any
   // time: silence says nothing. A slow server shows in the mean of its calls,
   // and a dead one is judged by those who poll it.
-  running.overdue =
+  running.overdue_at =
       demand.plain
           ? absl::InfiniteFuture()
           : now + absl::Seconds(kSilenceSeconds +
-                                kSilenceFactor * running.predicted_first);
+                                kSilenceFactor *
+                                    running.predicted_first_token_seconds);
   running.origin = std::move(waiting);
   return running;
 }
--- a/src/schedule/grant.h
+++ b/src/schedule/grant.h
@@ -5,15 +5,15 @@
 #ifndef GENTIANLB_SCHEDULE_GRANT_H_
 #define GENTIANLB_SCHEDULE_GRANT_H_
 
-#include "schedule/place.h"
+#include "schedule/placer.h"
 #include "schedule/state.h"
 
 namespace gentianlb::schedule {
 
 // A request that begins on `server` now, with the times by which its answer
 // will be measured.
-Running BeginOn(const State& state, Waiting waiting, ServerIndex server,
-                const Demand& demand, double cached_tokens);
+RunningRequest BeginOn(const State& state, Waiting waiting, ServerIndex server,
+                       const Demand& demand, double cached_tokens);
 
 // Does nothing unless something changed that may have made room.
 void GrantWaiting(State& state);
--- a/src/schedule/intake.cc
+++ b/src/schedule/intake.cc
@@ -30,8 +30,8 @@
 double BestServiceSeconds(const State& state, const Waiting& waiting,
                           double output) {
   if (waiting.request.model.empty()) return 0;
-  const Pool& pool = state.fleet.pool(waiting.pool);
-  const PrefixCache::Lookup lookup = state.cache.Find(waiting.marks);
+  const Pool& pool = state.servers.pool(waiting.pool);
+  const PrefixCacheTracker::Lookup lookup = state.cache.Find(waiting.marks);
   std::vector<ServerIndex> holders;
   lookup.DeepestHolders(1, &holders);
   const double cached =
@@ -189,10 +189,10 @@
   Waiting waiting;
   waiting.request = request;
   waiting.marks =
-      request.parts.empty() ? MarksOf(request.prefix) : request.parts;
+      request.parts.empty() ? MakePrefixMarks(request.prefix) : request.parts;
   waiting.request.prefix = {};  // The marks are enough, and far smaller.
   waiting.request.parts = {};
-  waiting.avoid = state.fleet.Find(request.avoid);
+  waiting.avoid = state.servers.Find(request.avoid);
   waiting.workspace = workspace;
   waiting.pool = pool;
   waiting.weight = state.limits.weight(workspace);
@@ -204,8 +204,8 @@
   waiting.work = WorkOf(request.prompt_tokens, waiting.output.median);
   // Hopeless is what could not finish even with a short answer; urgent what
   // needs its turn now if its answer is as long as usual.
-  waiting.best_service = absl::Seconds(
-      BestServiceSeconds(state, waiting, HopefulOutput(waiting.output)));
+  waiting.best_service = absl::Seconds(BestServiceSeconds(
+      state, waiting, OptimisticOutputTokens(waiting.output)));
   const absl::Duration usual =
       absl::Seconds(BestServiceSeconds(state, waiting, waiting.output.median));
   // A prompt so long that no server could be in time, also alone, has only its
@@ -231,15 +231,15 @@
   if (known) return;
 
   // Somebody has to be there to serve it.
-  const PoolIndex pool = state.fleet.FindPool(request.model);
-  if (pool == kNoIndex || state.fleet.pool(pool).usable == 0) {
+  const PoolIndex pool = state.servers.FindPool(request.model);
+  if (pool == kNoIndex || state.servers.pool(pool).usable == 0) {
     RefuseRequest(state, request, Code::kNoServer,
                   state.come_back.After(kNoServerSeconds));
     return;
   }
 
   // Its workspace's limits come first: what is over them delays nobody.
-  const WorkspaceIndex workspace = state.limits.Number(request.workspace);
+  const WorkspaceIndex workspace = state.limits.IndexOf(request.workspace);
   if (RefuseOverLimit(state, request, workspace, pool)) return;
 
   Waiting waiting = Describe(state, request, workspace, pool);
@@ -256,7 +256,7 @@
   state.queue.Correct(lane, waiting.workspace, waiting.weight, -waiting.work);
   ++waiting.attempts;
   waiting.avoid = failed;
-  const bool usable = state.fleet.pool(waiting.pool).usable > 0;
+  const bool usable = state.servers.pool(waiting.pool).usable > 0;
   if (!usable || waiting.attempts >= kMaxAttempts || !state.retries.Take()) {
     RefuseRequest(state, waiting.request, Code::kServerUnreachable,
                   ComeBackAfter(state, lane));
@@ -280,7 +280,7 @@
 
 void RefuseUnserved(State& state) {
   for (const LaneKey& lane : state.queue.Lanes()) {
-    if (state.fleet.pool(lane.pool).usable > 0) continue;
+    if (state.servers.pool(lane.pool).usable > 0) continue;
     for (const WaitIndex index : state.queue.AllOf(lane.pool)) {
       RefuseWaiting(state, index, Code::kNoServer,
                     state.come_back.After(kNoServerSeconds));
--- a/src/schedule/order.h
+++ b/src/schedule/order.h
@@ -25,10 +25,10 @@
 #include "absl/container/btree_set.h"
 #include "absl/container/node_hash_map.h"
 #include "absl/time/time.h"
-#include "schedule/estimate.h"
 #include "schedule/index.h"
 #include "schedule/messages.h"
-#include "schedule/prefix_cache.h"
+#include "schedule/output_estimator.h"
+#include "schedule/prefix_cache_tracker.h"
 
 namespace gentianlb::schedule {
 
--- a/src/schedule/preempt.cc
+++ b/src/schedule/preempt.cc
@@ -37,8 +37,8 @@
   constexpr int kAll = std::numeric_limits<int>::max();
   while (state.power.MustCancel()) {
     const RunIndex victim = state.running.FirstVictim(
-        /*above=*/-1, kAll, [&](const Running& running) {
-          return DrawsPower(state.fleet.at(running.server));
+        /*above=*/-1, kAll, [&](const RunningRequest& running) {
+          return DrawsPower(state.servers.at(running.server));
         });
     if (victim == kNoIndex) return;
     CancelRunning(state, victim, WasteCause::kPowerShare);
@@ -49,30 +49,31 @@
   while (!state.queue.empty()) {
     const RunIndex index = state.running.EarliestDeadline();
     if (index == kNoIndex) return;
-    const Running& running = state.running.Get(index);
+    const RunningRequest& running = state.running.Get(index);
     const Request& request = running.origin.request;
     if (request.deadline > state.now) return;
     // What is nearly done costs others little and throws nothing away.
     const OutputEstimate output =
-        Corrected(running.origin.output, running.output_tokens,
-                  request.max_output_tokens);
+        CorrectEstimate(running.origin.output, running.output_tokens,
+                        request.max_output_tokens);
     const double remaining = output.median - running.output_tokens;
     const double thrown = ComputedPrefill(running, state.now);
     if (WorthIt(state.options.weights, remaining, thrown)) {
       CancelRunning(state, index, WasteCause::kDeadlineMissed);
     } else {
-      state.running.LetRun(index);
+      state.running.IgnoreDeadline(index);
     }
   }
 }
 
 void Preempt(State& state, WaitIndex index, bool for_power) {
   const Waiting& waiting = state.queue.Get(index);
-  if (!state.options.preempts || state.now < waiting.urgent_at) return;
+  if (!state.options.allow_preemption || state.now < waiting.urgent_at) return;
   if (state.preempting >= kMaxPreempting) return;
   const RunIndex victim = state.running.FirstVictim(
-      waiting.request.tier.rank, kPreemptTried, [&](const Running& running) {
-        const Server& server = state.fleet.at(running.server);
+      waiting.request.tier.rank, kPreemptTried,
+      [&](const RunningRequest& running) {
+        const Server& server = state.servers.at(running.server);
         const bool helps = for_power
                                ? DrawsPower(server)
                                : server.configured &&
--- /dev/null
+++ b/src/schedule/server_set.h
@@ -0,0 +1,105 @@
+// The backend servers of one service and availability zone, with an index per
+// model of the servers that can take work now, fastest first.
+//
+// Load pattern: 1000 servers and 10,000 decisions per second. Scanning every
+// server for every request would cost O(n) per decision; the index costs
+// O(log n).
+
+#ifndef GENTIANLB_SCHEDULE_SERVER_SET_H_
+#define GENTIANLB_SCHEDULE_SERVER_SET_H_
+
+#include <cstddef>
+#include <deque>
+#include <utility>
+#include <vector>
+
+#include "absl/container/btree_set.h"
+#include "absl/time/time.h"
+#include "schedule/index.h"
+#include "schedule/messages.h"
+#include "schedule/server.h"
+
+namespace gentianlb::schedule {
+
+// The servers that have one model loaded. Servers of a plain service list no
+// models and form the pool of the empty model.
+struct Pool {
+  ModelId model;
+  std::vector<ServerIndex> servers;  // All configured servers of the pool.
+  // Servers with free capacity, ordered by predicted seconds of a typical
+  // request.
+  absl::btree_set<std::pair<double, ServerIndex>> open;
+  // The servers of `open` that are computing prompts. One more prompt there
+  // does not raise the worst-case power of prefill.
+  absl::btree_set<std::pair<double, ServerIndex>> open_prefilling;
+  // Highest configured speeds of the usable servers, in tokens per second.
+  double best_prefill_speed = 0;
+  double best_decode_speed = 0;
+  int usable = 0;       // Number of configured servers alive or suspect.
+  double capacity = 0;  // Tokens of work per second with all windows full.
+};
+
+// Keeps the state of all servers and finds those that can take a request.
+class ServerSet {
+ public:
+  // Replaces the configuration of all servers and rebuilds the pools. Returns
+  // the indexes of the servers in `specs`, in the same order. Servers that are
+  // no longer configured take no new work.
+  std::vector<ServerIndex> Configure(const std::vector<ServerSpec>& specs,
+                                     absl::Time now);
+
+  // Return kNoIndex if the server or model is unknown.
+  ServerIndex Find(const ServerId& id) const { return server_ids_.Find(id); }
+  PoolIndex FindPool(const ModelId& model) const { return models_.Find(model); }
+
+  Server& at(ServerIndex server) { return servers_[server]; }
+  const Server& at(ServerIndex server) const { return servers_[server]; }
+  const Pool& pool(PoolIndex pool) const { return pools_[pool]; }
+  std::size_t size() const { return servers_.size(); }
+  std::size_t pools() const { return pools_.size(); }
+
+  // Sets the health of `server` and updates its pools and index entry.
+  void SetHealth(ServerIndex server, ServerHealth health, absl::Time now);
+
+  // Updates the index entry of `server`. Must be called after any change to it.
+  void Reindex(ServerIndex server, absl::Time now);
+
+  // Returns the fraction of the pool's running streams that this dispatcher
+  // granted. Counts the streams of other dispatchers only where they are known.
+  double OwnShare(PoolIndex pool, absl::Time now) const;
+
+  // Returns when the next closed server may be probed or the slowdown of the
+  // next idle server decays; InfiniteFuture() if never.
+  absl::Time NextRecheckTime() const;
+  // Rechecks the servers that are due. Returns whether there were any.
+  bool RecheckDue(absl::Time now);
+
+ private:
+  struct IndexEntry {
+    double key = 0;           // Seconds; orders the servers of a pool.
+    bool open = false;        // Whether the server is in Pool::open.
+    bool prefilling = false;  // Whether it is in Pool::open_prefilling.
+    absl::Time recheck_at = absl::InfiniteFuture();
+  };
+
+  PoolIndex FindOrAddPool(const ModelId& model);
+  void AddToPool(ServerIndex server, const ModelId& model);
+  // Recomputes the totals of all pools.
+  void SummarizePools();
+  void Unindex(ServerIndex server);
+  // Returns whether the entry stays valid, because `key` differs from the
+  // entry's key by at most the tolerance and nothing else changed.
+  bool KeepsPlace(ServerIndex server, double key) const;
+
+  Interner<ServerId> server_ids_;
+  Interner<ModelId> models_;
+  std::deque<Server> servers_;
+  std::vector<IndexEntry> entries_;
+  std::vector<Pool> pools_;
+  // Times at which servers are rechecked.
+  absl::btree_set<std::pair<absl::Time, ServerIndex>> rechecks_;
+};
+
+}  // namespace gentianlb::schedule
+
+#endif  // GENTIANLB_SCHEDULE_SERVER_SET_H_
--- a/src/schedule/state.cc
+++ b/src/schedule/state.cc
@@ -15,7 +15,8 @@
 
 // Several dispatchers may share the pool; the first guess is this one's part.
 double OwnCapacity(const State& state, PoolIndex pool) {
-  return state.fleet.pool(pool).capacity * state.fleet.OwnPart(pool, state.now);
+  return state.servers.pool(pool).capacity *
+         state.servers.OwnShare(pool, state.now);
 }
 
 }  // namespace
@@ -27,7 +28,7 @@
 }
 
 void AddWaiting(State& state, Waiting waiting) {
-  state.limits.Waits(waiting.workspace, waiting.request);
+  state.limits.AddWaiting(waiting.workspace, waiting.request);
   const LaneKey lane{waiting.request.tier, waiting.pool};
   const RequestId id = waiting.request.id;
   const WaitIndex index = state.queue.Add(std::move(waiting));
@@ -42,7 +43,7 @@
 Waiting RemoveWaiting(State& state, WaitIndex index) {
   Waiting waiting = state.queue.Remove(index);
   state.waiting_by_id.erase(waiting.request.id);
-  state.limits.WaitsNoMore(waiting.workspace, waiting.request);
+  state.limits.RemoveWaiting(waiting.workspace, waiting.request);
   if (state.queue.PoolSize(waiting.pool) == 0) {
     state.drains[waiting.pool].SetBacklog(false, state.now);
   }
@@ -71,11 +72,11 @@
 }
 
 void CancelRunning(State& state, RunIndex index, WasteCause cause) {
-  const Running& running = state.running.Get(index);
+  const RunningRequest& running = state.running.Get(index);
   const Request& request = running.origin.request;
   const LaneKey lane{request.tier, running.origin.pool};
-  state.power.Cancelling(running.server, !running.first_token);
-  state.running.SetCancelled(index, cause);
+  state.power.OnCancel(running.server, !running.first_token);
+  state.running.SetCancelCause(index, cause);
   if (cause == WasteCause::kPreempted) ++state.preempting;
   Emit(state, Cancel{request.id, request.host, Code::kCancelledRunning,
                      ComeBackAfter(state, lane)});
@@ -100,8 +101,8 @@
 }
 
 void RoomOn(State& state, ServerIndex server) {
-  state.fleet.Reindex(server, state.now);
-  const std::vector<PoolIndex>& pools = state.fleet.at(server).pools;
+  state.servers.Reindex(server, state.now);
+  const std::vector<PoolIndex>& pools = state.servers.at(server).pools;
   state.changes.servers.push_back(server);
   state.changes.pools.insert(state.changes.pools.end(), pools.begin(),
                              pools.end());
--- a/src/schedule/state.h
+++ b/src/schedule/state.h
@@ -12,17 +12,17 @@
 #include "absl/time/time.h"
 #include "base/retry.h"
 #include "schedule/counters.h"
-#include "schedule/estimate.h"
-#include "schedule/fleet.h"
 #include "schedule/index.h"
 #include "schedule/limits.h"
 #include "schedule/messages.h"
 #include "schedule/options.h"
 #include "schedule/order.h"
-#include "schedule/power.h"
-#include "schedule/prefix_cache.h"
+#include "schedule/output_estimator.h"
+#include "schedule/power_ledger.h"
+#include "schedule/prefix_cache_tracker.h"
 #include "schedule/refuse.h"
 #include "schedule/running.h"
+#include "schedule/server_set.h"
 #include "schedule/signature.h"
 
 namespace gentianlb::schedule {
@@ -50,8 +50,8 @@
 
 struct State {
   explicit State(const DispatcherOptions& chosen)
-      : options(chosen), come_back(chosen.seed, chosen.shortest_come_back) {
-    power.SetShare(chosen.initial_watts);
+      : options(chosen), come_back(chosen.seed, chosen.min_retry_after) {
+    power.SetShare(chosen.initial_share_watts);
   }
 
   DispatcherOptions options;
@@ -60,9 +60,9 @@
 
   WaitingQueue queue;
   RunningTable running;
-  Fleet fleet;
+  ServerSet servers;
   PowerLedger power;
-  PrefixCache cache;
+  PrefixCacheTracker cache;
   WorkspaceLimits limits;
   OutputEstimator estimator;
   RetryBudget retries{RetryOptions{}};
