--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -10,8 +10,9 @@
 namespace gentianlb::schedule {
 namespace {
 
-// A first token is slow beyond this many times its prediction and a quarter of
-// a second, which covers the jitter of a network and of a batch step.
+// A first token is slow if it takes longer than this factor times the
+// prediction plus a margin. The margin covers the jitter of the network and of
+// a batch step.
 constexpr double kSlowFactor = 3;
 constexpr double kSlowSeconds = 0.25;
 
@@ -19,18 +20,19 @@
   if (server.window.Slow(state.now)) ++state.counters.window_cuts;
 }
 
-// Good or slow, by one answer and by what the server's answers are together.
-// `running` is what ran there when the answer came, itself included: counted
-// without it, a window of a plain service, whose calls show nothing before
-// their end, never seems full and never grows again.
-void Judge(State& state, Server& server, int running, bool slow) {
+// Grows or cuts the window by one response and by the server's recent speed.
+// `running` is the number of streams on the server when the response arrived,
+// including its own. Without its own, the window of a plain service, whose
+// calls report nothing before their end, would never look full and never grow
+// again.
+void UpdateWindow(State& state, Server& server, int running, bool slow) {
   if (slow || server.pace.straggling()) return CutWindow(state, server);
   server.window.Good(state.now, running >= server.window.streams());
 }
 
-// Between the two expectations, it is the cache that was misjudged, not the
-// server.
-void SampleFirstToken(Server& server, const Running& running, double seconds) {
+// A time between the two expectations means that the cache was misjudged, not
+// the server's speed, and gives no sample.
+void LearnFirstToken(Server& server, const Running& running, double seconds) {
   if (seconds <= server.pace.Seconds(running.expected_first)) {
     server.pace.AddFirstToken(seconds, running.expected_first);
   } else if (seconds >= server.pace.Seconds(running.expected_uncached)) {
@@ -38,34 +40,34 @@
   }
 }
 
-void FirstToken(State& state, RunIndex index) {
+void OnFirstToken(State& state, RunIndex index) {
   const Running& running = state.running.Get(index);
   Server& server = state.fleet.at(running.server);
   const double seconds = absl::ToDoubleSeconds(state.now - running.granted);
   bool slow = false;
   if (!running.taken_over) {
-    SampleFirstToken(server, running, seconds);
+    LearnFirstToken(server, running, seconds);
     slow = seconds > kSlowFactor * running.predicted_first + kSlowSeconds;
   }
-  // Its prompt is computed: prompt room and watts are free for others.
+  // The prompt is computed: frees its prefill capacity and power.
   server.FirstToken(running.demand, state.now);
   state.power.FirstToken(running.server, running.cancelled.has_value());
   state.running.SetFirstToken(index);
-  Judge(state, server, server.running(), slow);
+  UpdateWindow(state, server, server.running(), slow);
 }
 
-void MoreTokens(State& state, RunIndex index, int tokens) {
+void OnMoreTokens(State& state, RunIndex index, int tokens) {
   const Running& running = state.running.Get(index);
   Server& server = state.fleet.at(running.server);
-  const int more = tokens - running.output_tokens;
-  if (more <= 0) return;  // Overtaken on the way.
+  const int new_tokens = tokens - running.output_tokens;
+  if (new_tokens <= 0) return;  // An older report arrived late.
   const double seconds = absl::ToDoubleSeconds(state.now - running.reported);
-  server.pace.AddTokens(seconds / more, server.running());
-  Judge(state, server, server.running(), /*slow=*/false);
+  server.pace.AddTokens(seconds / new_tokens, server.running());
+  UpdateWindow(state, server, server.running(), /*slow=*/false);
 }
 
-// An answer that outgrows its estimate needs more memory than was reserved.
-void CorrectMemory(State& state, RunIndex index, int tokens) {
+// Reserves more memory for an answer that exceeds its estimate.
+void GrowMemoryReservation(State& state, RunIndex index, int tokens) {
   const Running& running = state.running.Get(index);
   if (tokens < running.origin.output.high || running.demand.plain) return;
   const Request& request = running.origin.request;
@@ -79,50 +81,51 @@
   state.running.SetDemand(index, demand);
 }
 
-// Frees what `running` held, whatever its end.
+// Frees the capacity of a finished request, whatever its outcome.
 void Release(State& state, const Running& running) {
   Server& server = state.fleet.at(running.server);
   server.End(running.demand, running.first_token, state.now);
   state.power.End(running.server, !running.first_token,
                   running.cancelled.has_value());
   state.limits.RunsNoMore(running.origin.workspace);
-  if (running.cancelled == WasteCause::kPreempted) --state.preempting;
+  if (running.cancelled == WasteCause::kPreempted) --state.pending_preemptions;
 }
 
-void LearnFromAnswer(State& state, const Running& running,
-                     const RequestEnded& event) {
+void LearnFromResponse(State& state, const Running& running,
+                       const RequestEnded& event) {
   const Waiting& origin = running.origin;
   Server& server = state.fleet.at(running.server);
   state.retries.OnCall();
   if (running.demand.plain) {
     if (running.taken_over) return;
     server.pace.AddCall(absl::ToDoubleSeconds(state.now - running.granted));
-    return Judge(state, server, server.running() + 1, /*slow=*/false);
+    return UpdateWindow(state, server, server.running() + 1, /*slow=*/false);
   }
-  // The last stretch of the stream, or all of it where reports are few.
-  const int more = event.output_tokens - running.output_tokens;
-  if (running.first_token && more > 0) {
+  // Tokens since the last report; nearly all of them if reports are rare.
+  const int new_tokens = event.output_tokens - running.output_tokens;
+  if (running.first_token && new_tokens > 0) {
     const double seconds = absl::ToDoubleSeconds(state.now - running.reported);
-    server.pace.AddTokens(seconds / more, server.running() + 1);
-    Judge(state, server, server.running() + 1, /*slow=*/false);
+    server.pace.AddTokens(seconds / new_tokens, server.running() + 1);
+    UpdateWindow(state, server, server.running() + 1, /*slow=*/false);
   }
   state.estimator.Learn(origin.request, origin.workspace, event.output_tokens);
-  // Engines that don't report cached tokens say 0: nothing to learn from.
+  // Engines that don't report cached tokens send 0.
   if (event.cached_prompt_tokens > 0) {
     state.cache.Reported(running.server, running.cached_tokens,
                          event.cached_prompt_tokens);
   }
-  // The workspace pays for what it got, not for what was expected.
+  // Charges the workspace for the actual work instead of the estimate.
   const double actual =
       WorkOf(origin.request.prompt_tokens, event.output_tokens);
-  state.queue.Correct({origin.request.tier, origin.pool}, origin.workspace,
-                      origin.weight, actual - origin.work);
+  state.queue.CorrectCharge({origin.request.tier, origin.pool},
+                            origin.workspace, origin.weight,
+                            actual - origin.work);
   state.limits.Charge(origin.workspace,
                       event.output_tokens - origin.output.median);
 }
 
-double PrefillOf(const Running& running, const RequestEnded& event,
-                 absl::Time now) {
+double PrefillTokens(const Running& running, const RequestEnded& event,
+                     absl::Time now) {
   if (event.kind != EndKind::kComplete) return ComputedPrefill(running, now);
   if (event.cached_prompt_tokens <= 0) return running.demand.prefill_tokens;
   return std::max(
@@ -131,24 +134,24 @@
 
 void CountPrefill(State& state, const Running& running,
                   const RequestEnded& event) {
-  const double prefill = PrefillOf(running, event, state.now);
+  const double prefill = PrefillTokens(running, event, state.now);
   state.counters.prefill_computed += prefill;
   if (event.kind == EndKind::kComplete) return;
-  const WasteCause unasked = event.kind == EndKind::kBroken
-                                 ? WasteCause::kServerBroke
-                                 : WasteCause::kCallerGone;
-  const WasteCause cause = running.cancelled.value_or(unasked);
+  const WasteCause default_cause = event.kind == EndKind::kBroken
+                                       ? WasteCause::kServerBroke
+                                       : WasteCause::kCallerGone;
+  const WasteCause cause = running.cancelled.value_or(default_cause);
   state.counters.prefill_wasted[static_cast<std::size_t>(cause)] += prefill;
 }
 
 }  // namespace
 
-void TakeOver(State& state, const RequestRunning& event) {
+void AdoptRunning(State& state, const RequestRunning& event) {
   const Request& request = event.request;
   const ServerIndex server = state.fleet.Find(event.server);
   if (server == kNoIndex) return;
   if (state.running.Find(request.id) != kNoIndex) return;
-  // It was granted before this dispatcher heard of it as waiting.
+  // The report that it is running may arrive while it still waits here.
   const auto waits = state.waiting_by_id.find(request.id);
   if (waits != state.waiting_by_id.end()) {
     RemoveWaiting(state, waits->second);
@@ -158,7 +161,7 @@
   if (pool == kNoIndex) return;
   const WorkspaceIndex workspace = state.limits.Number(request.workspace);
 
-  Waiting origin = Describe(state, request, workspace, pool);
+  Waiting origin = MakeWaitingRequest(state, request, workspace, pool);
   const double cached = std::min<double>(
       request.prompt_tokens,
       state.cache.Find(origin.marks).CachedTokens(server, state.now));
@@ -168,7 +171,8 @@
   demand.kv_tokens = request.prompt_tokens + origin.output.high;
   demand.prefill_tokens =
       event.just_sent ? request.prompt_tokens - cached : request.prompt_tokens;
-  Running running = BeginOn(state, std::move(origin), server, demand, cached);
+  Running running =
+      MakeRunning(state, std::move(origin), server, demand, cached);
   running.first_token = event.output_tokens > 0;
   running.output_tokens = event.output_tokens;
   running.taken_over = !event.just_sent;
@@ -187,7 +191,7 @@
   state.fleet.Reindex(server, state.now);
 }
 
-void Streamed(State& state, const TokensStreamed& event) {
+void OnTokensStreamed(State& state, const TokensStreamed& event) {
   const RunIndex index = state.running.Find(event.id);
   if (index == kNoIndex) return;
   const Running& running = state.running.Get(index);
@@ -195,39 +199,39 @@
   const int window = state.fleet.at(server).window.streams();
   const bool first = !running.first_token;
   if (first) {
-    FirstToken(state, index);
+    OnFirstToken(state, index);
   } else {
-    MoreTokens(state, index, event.output_tokens);
+    OnMoreTokens(state, index, event.output_tokens);
   }
-  CorrectMemory(state, index, event.output_tokens);
+  GrowMemoryReservation(state, index, event.output_tokens);
   const int tokens = std::max(running.output_tokens, event.output_tokens);
   state.running.SetStreamed(index, tokens, state.now);
-  // Prompt room and watts, or a larger window.
+  // Prefill capacity and power became free, or the window grew.
   if (first || state.fleet.at(server).window.streams() > window) {
-    RoomOn(state, server);
+    OnCapacityFreed(state, server);
   } else {
     state.fleet.Reindex(server, state.now);
   }
 }
 
-void Ended(State& state, const RequestEnded& event) {
+void OnRequestFinished(State& state, const RequestEnded& event) {
   const RunIndex index = state.running.Find(event.id);
   if (index == kNoIndex) return;
   Running running = state.running.Remove(index);
-  const ServerIndex index_of_server = running.server;
-  Server& server = state.fleet.at(index_of_server);
+  const ServerIndex server_index = running.server;
+  Server& server = state.fleet.at(server_index);
   Release(state, running);
   switch (event.kind) {
     case EndKind::kComplete:
       ++state.counters.completed;
       server.CountEnd(/*failed=*/false);
       CountPrefill(state, running, event);
-      LearnFromAnswer(state, running, event);
+      LearnFromResponse(state, running, event);
       break;
     case EndKind::kBroken:
       CountPrefill(state, running, event);
-      // A server that breaks everything at once looks idle and would draw all
-      // work to itself.
+      // A server that fails every request at once looks idle and would attract
+      // all work.
       server.CountEnd(/*failed=*/true);
       if (running.first_token) {
         CutWindow(state, server);
@@ -246,33 +250,33 @@
       break;
     case EndKind::kNotSent:
       server.window.Unreachable(state.now);
-      // A cancel was its final answer already.
+      // A Cancel already was the final decision on the request.
       if (!running.cancelled) {
-        Retry(state, std::move(running.origin), index_of_server);
+        RetryOrRefuse(state, std::move(running.origin), server_index);
       } else {
         ++state.counters.cancelled;
       }
       break;
   }
-  RoomOn(state, index_of_server);
+  OnCapacityFreed(state, server_index);
 }
 
-void NoticeSilence(State& state) {
+void PenalizeOverdueServers(State& state) {
   while (true) {
     const RunIndex index = state.running.Overdue(state.now);
     if (index == kNoIndex) return;
     const Running& running = state.running.Get(index);
     Server& server = state.fleet.at(running.server);
     ++state.counters.silences;
-    // It has taken at least this long.
-    const absl::Duration silent = state.now - running.granted;
-    const double seconds = absl::ToDoubleSeconds(silent);
+    // The first token takes at least this long.
+    const absl::Duration waited = state.now - running.granted;
+    const double seconds = absl::ToDoubleSeconds(waited);
     if (!running.demand.plain) {
       server.pace.AddFirstToken(seconds, running.expected_uncached);
     }
     CutWindow(state, server);
-    // Noticed again when it has been silent for twice as long.
-    state.running.SetOverdue(index, state.now + silent);
+    // Overdue again after twice the time.
+    state.running.SetOverdue(index, state.now + waited);
     state.fleet.Reindex(running.server, state.now);
   }
 }
--- a/src/schedule/answers.h
+++ b/src/schedule/answers.h
@@ -1,4 +1,5 @@
-// What comes back from the servers, and what is learnt from it.
+// Handles progress and results of running requests, and learns server speeds,
+// answer lengths and cache contents from them.
 
 #ifndef GENTIANLB_SCHEDULE_ANSWERS_H_
 #define GENTIANLB_SCHEDULE_ANSWERS_H_
@@ -7,15 +8,20 @@
 
 namespace gentianlb::schedule {
 
-// A request that another dispatcher granted.
-void TakeOver(State& state, const RequestRunning& event);
+// Adds a running request that another dispatcher granted.
+void AdoptRunning(State& state, const RequestRunning& event);
 
-void Streamed(State& state, const TokensStreamed& event);
-void Ended(State& state, const RequestEnded& event);
+// Records that more tokens of a running request were streamed.
+void OnTokensStreamed(State& state, const TokensStreamed& event);
 
-// Cuts the windows of servers whose first tokens are long overdue: a server
-// that hangs gives no slow answer to learn from, only none.
-void NoticeSilence(State& state);
+// Frees the capacity of a finished request and learns from its outcome. A
+// request that was not sent is queued again or refused.
+void OnRequestFinished(State& state, const RequestEnded& event);
+
+// Cuts the windows of servers whose first tokens are overdue. A server that
+// hangs sends no slow response to learn from, so only the missing response
+// shows it.
+void PenalizeOverdueServers(State& state);
 
 }  // namespace gentianlb::schedule
 
--- a/src/schedule/dispatcher.cc
+++ b/src/schedule/dispatcher.cc
@@ -12,10 +12,11 @@
 namespace gentianlb::schedule {
 namespace {
 
-// Short against the half second in which a request is urgent.
-constexpr absl::Duration kUrgentRetry = absl::Milliseconds(100);
+// Short compared to the half second for which a request is urgent.
+constexpr absl::Duration kUrgentRecheckInterval = absl::Milliseconds(100);
 
-// Takes a change of the servers into every module that keeps one by one.
+// Applies a new server configuration to every module that keeps per-server
+// state.
 void ConfigureServers(State& state, const std::vector<ServerSpec>& specs) {
   state.fleet.Configure(specs, state.now);
   for (ServerIndex i = 0; i < state.fleet.size(); ++i) {
@@ -23,24 +24,24 @@
     state.power.SetServer(i, server.spec, server.configured);
     state.cache.SetServer(i, server.spec);
   }
-  state.drains.resize(state.fleet.pools());
+  state.pool_drains.resize(state.fleet.pools());
   state.changes.all = true;
   RefuseUnserved(state);
 }
 
-void ChangeHealth(State& state, const ServerHealthChanged& event) {
+void UpdateHealth(State& state, const ServerHealthChanged& event) {
   const ServerIndex server = state.fleet.Find(event.server);
   if (server == kNoIndex) return;
   const ServerHealth before = state.fleet.at(server).health;
   if (before == event.health) return;
-  // What comes back from the dead was started anew, with an empty cache.
+  // A server that was dead has restarted, with an empty cache.
   if (before == ServerHealth::kDead) state.cache.Clear(server, state.now);
   state.fleet.SetHealth(server, event.health, state.now);
   state.changes.all = true;
   RefuseUnserved(state);
 }
 
-void LeaveCaller(State& state, const CallerGone& event) {
+void OnCallerDisconnected(State& state, const CallerGone& event) {
   const auto waits = state.waiting_by_id.find(event.id);
   if (waits != state.waiting_by_id.end()) {
     RefuseWaiting(state, waits->second, Code::kCallerGone,
@@ -50,51 +51,59 @@
   const RunIndex index = state.running.Find(event.id);
   if (index == kNoIndex) return;
   const Running& running = state.running.Get(index);
-  // A begun call of a plain service can't be stopped; it runs to its end.
+  // A running call of a plain service can't be stopped.
   if (running.cancelled || running.demand.plain) return;
   CancelRunning(state, index, WasteCause::kCallerGone);
 }
 
-// News of one server's load, told to it by `Learn`.
-template <auto Learn, typename Event>
-void LearnLoad(State& state, const Event& event) {
+// Passes a load event of one server to its method `Update`.
+template <auto Update, typename Event>
+void UpdateLoad(State& state, const Event& event) {
   const ServerIndex server = state.fleet.Find(event.server);
   if (server == kNoIndex) return;
-  (state.fleet.at(server).*Learn)(event, state.now);
-  RoomOn(state, server);
+  (state.fleet.at(server).*Update)(event, state.now);
+  OnCapacityFreed(state, server);
 }
 
-void LearnPace(State& state, const PaceElsewhere& event) {
+void SeedSpeed(State& state, const PaceElsewhere& event) {
   const ServerIndex server = state.fleet.Find(event.server);
   if (server == kNoIndex) return;
   state.fleet.at(server).pace.Told(event.prefill, event.decode);
   state.fleet.Reindex(server, state.now);
 }
 
-struct EventHandler {
+struct EventVisitor {
   State& state;
 
-  void operator()(const RequestArrived& event) { Arrive(state, event.request); }
-  void operator()(const CallerGone& event) { LeaveCaller(state, event); }
-  void operator()(const RequestRunning& event) { TakeOver(state, event); }
-  void operator()(const TokensStreamed& event) { Streamed(state, event); }
-  void operator()(const RequestEnded& event) { Ended(state, event); }
+  void operator()(const RequestArrived& event) {
+    OnRequestArrived(state, event.request);
+  }
+  void operator()(const CallerGone& event) {
+    OnCallerDisconnected(state, event);
+  }
+  void operator()(const RequestRunning& event) { AdoptRunning(state, event); }
+  void operator()(const TokensStreamed& event) {
+    OnTokensStreamed(state, event);
+  }
+  void operator()(const RequestEnded& event) {
+    OnRequestFinished(state, event);
+  }
   void operator()(const LoadReported& event) {
-    LearnLoad<&Server::Report>(state, event);
+    UpdateLoad<&Server::Report>(state, event);
   }
   void operator()(const LoadAnswered& event) {
-    LearnLoad<&Server::Answered>(state, event);
+    UpdateLoad<&Server::Answered>(state, event);
   }
   void operator()(const LoadElsewhere& event) {
-    LearnLoad<&Server::Elsewhere>(state, event);
+    UpdateLoad<&Server::Elsewhere>(state, event);
   }
-  void operator()(const PaceElsewhere& event) { LearnPace(state, event); }
+  void operator()(const PaceElsewhere& event) { SeedSpeed(state, event); }
   void operator()(const CacheChanged& event) {
     const ServerIndex server = state.fleet.Find(event.server);
     if (server != kNoIndex) state.cache.Changed(server, event, state.now);
   }
   void operator()(const ServerHealthChanged& event) {
-    ChangeHealth(state, event);
+    UpdateHealth(state, event);
   }
   void operator()(const ServersConfigured& event) {
     ConfigureServers(state, event.servers);
@@ -109,13 +118,14 @@
   void operator()(const TimePassed&) {}
 };
 
-// When something that waits becomes urgent. What is urgent already is looked at
-// again after a while, as somebody may have begun who could give way.
-absl::Time NextUrgent(const State& state) {
-  const WaitIndex first = state.queue.FirstExpiring();
+// Returns when a waiting request becomes urgent. One that is already urgent is
+// checked again after a short interval, as a request that can be preempted may
+// have started.
+absl::Time NextUrgentCheck(const State& state) {
+  const WaitIndex first = state.queue.NextToExpire();
   if (first == kNoIndex) return absl::InfiniteFuture();
   const absl::Time urgent = state.queue.Get(first).urgent_at;
-  return urgent > state.now ? urgent : state.now + kUrgentRetry;
+  return urgent > state.now ? urgent : state.now + kUrgentRecheckInterval;
 }
 
 }  // namespace
@@ -130,37 +140,38 @@
                         std::vector<Decision>* decisions) {
   State& state = *state_;
   state.now = std::max(state.now, now);
-  state.out = decisions;
+  state.decisions = decisions;
   ++state.counters.events;
 
-  std::visit(EventHandler{state}, event);
+  std::visit(EventVisitor{state}, event);
 
-  // What the time alone brings about.
-  NoticeSilence(state);
+  // Applies what depends on the time alone.
+  PenalizeOverdueServers(state);
   state.changes.all |= state.fleet.Reopen(state.now);
-  state.changes.all |= state.now >= state.urgent_at;
-  EnforceShare(state);
-  CancelLate(state);
+  state.changes.all |= state.now >= state.next_urgent_check;
+  EnforcePowerShare(state);
+  CancelExpired(state);
 
   GrantWaiting(state);
-  // Whoever could not be granted at the last moment is told at once.
-  ExpireWaiting(state);
-  if (state.urgent_at <= state.now || state.urgent_at > NextUrgent(state)) {
-    state.urgent_at = NextUrgent(state);
+  // Refuses requests at once that could not be granted by their latest start.
+  RefuseExpired(state);
+  if (state.next_urgent_check <= state.now ||
+      state.next_urgent_check > NextUrgentCheck(state)) {
+    state.next_urgent_check = NextUrgentCheck(state);
   }
-  state.out = nullptr;
+  state.decisions = nullptr;
 }
 
 absl::Time Dispatcher::NextWakeup() const {
   const State& state = *state_;
-  const absl::Time silence = state.running.NextOverdue();
-  if (state.queue.empty()) return silence;
-  absl::Time next = std::min(silence, state.queue.FirstExpiry());
+  const absl::Time next_overdue = state.running.NextOverdue();
+  if (state.queue.empty()) return next_overdue;
+  absl::Time next = std::min(next_overdue, state.queue.NextExpiryTime());
   next = std::min(next, state.fleet.NextReopening());
-  next = std::min(next, state.urgent_at);
-  const RunIndex late = state.running.EarliestDeadline();
-  if (late == kNoIndex) return next;
-  return std::min(next, state.running.Get(late).origin.request.deadline);
+  next = std::min(next, state.next_urgent_check);
+  const RunIndex earliest = state.running.EarliestDeadline();
+  if (earliest == kNoIndex) return next;
+  return std::min(next, state.running.Get(earliest).origin.request.deadline);
 }
 
 const Counters& Dispatcher::counters() const { return state_->counters; }
--- a/src/schedule/dispatcher.h
+++ b/src/schedule/dispatcher.h
@@ -1,5 +1,6 @@
-// The dispatcher of one service in one availability zone: order, refusal,
-// window per server, choice of server and power, driven by events.
+// Dispatcher of one service in one availability zone. Driven by events, it
+// orders and refuses requests, keeps a window of streams per server, chooses
+// servers and limits power.
 
 #ifndef GENTIANLB_SCHEDULE_DISPATCHER_H_
 #define GENTIANLB_SCHEDULE_DISPATCHER_H_
@@ -26,33 +27,37 @@
   Dispatcher(Dispatcher&&) noexcept;
   Dispatcher& operator=(Dispatcher&&) noexcept;
 
-  // Takes one event at `now`, which never goes back, and appends what it leads
-  // to. Events about an unknown request or server are ignored: they come late.
+  // Handles one event at time `now`, which must not decrease, and appends the
+  // resulting decisions. Events about unknown requests or servers are ignored,
+  // as they may arrive late.
   void Handle(const Event& event, absl::Time now,
               std::vector<Decision>* decisions);
 
-  // When TimePassed is due at the latest.
+  // Returns the latest time at which TimePassed is due; InfiniteFuture() if
+  // never.
   absl::Time NextWakeup() const;
 
   const Counters& counters() const;
 
-  // Hash over all decisions so far.
+  // Returns a hash over all decisions so far.
   std::uint64_t signature() const;
 
-  // What all servers may draw at worst, and the share it must stay within.
+  // Worst-case power of all servers, and the share that it must stay within.
   double worst_watts() const;
   double share_watts() const;
 
-  // Streams that may still begin on all servers together.
+  // Returns the number of streams that may still start on all servers together.
   int FreeStreams() const;
 
   std::size_t waiting() const;
   std::size_t running() const;
 
-  // What this dispatcher has learnt of a server's pace by itself, for others.
+  // Returns the slowdown of a server that this dispatcher measured itself, to
+  // be published to peers; nullopt if there are no samples or the server is
+  // unknown.
   std::optional<PaceElsewhere> PaceOf(const ServerId& server) const;
 
-  // Streams that a server may hold, as learnt; 0 when it is unknown.
+  // Returns the learned window of a server, in streams; 0 if it is unknown.
   int window(const ServerId& server) const;
 
  private:
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -10,54 +10,55 @@
 namespace gentianlb::schedule {
 namespace {
 
-// A request too large for what is free lets others pass for this long; then a
-// server is kept for it, or a stream of small ones would starve it.
-constexpr absl::Duration kPassedFor = absl::Seconds(2);
-
-// Tiers that sent something this lately are expected to do so again.
-constexpr absl::Duration kActive = absl::Seconds(30);
-
-// Trunk reservation, as in telephone networks: a small part kept free for the
-// class above shields it almost wholly, at little cost for the class below.
-// One stream in sixteen for each tier above, at most a quarter.
-constexpr double kStreamsPerTier = 1.0 / 16;
-constexpr double kMaxStreams = 0.25;
-constexpr double kPowerPerTier = 0.04;
-constexpr double kMaxPower = 0.1;
-
-// Long ones leave an eighth to short ones, as a long one gives its room back
-// only after minutes. Not where an objective bounds the wait: a short one then
-// takes each stream that comes free, and under overload the largest of a kind
-// would hardly be served.
-constexpr double kStreamsForShort = 1.0 / 8;
-
-// A first token is overdue after several times the prediction, which counts
-// the prompts ahead, and some seconds for what no prediction covers.
-constexpr double kSilenceFactor = 4;
-constexpr double kSilenceSeconds = 2;
-
-// By tier; inside a tier the lanes take turns to be first, or the pool that
-// happens to be numbered first would get all the power.
-std::vector<LaneKey> LanesInTurn(State& state) {
+// Time for which smaller requests may bypass one that is too large for the free
+// capacity. Then a server is held for it, as a steady flow of small requests
+// would starve it.
+constexpr absl::Duration kMaxBypassTime = absl::Seconds(2);
+
+// A tier is expected to send requests if its last arrival is at most this old.
+constexpr absl::Duration kTierActivityWindow = absl::Seconds(30);
+
+// Trunk reservation, as in telephone networks: a small reserve for a higher
+// class shields it almost completely, at little cost for the lower class. One
+// stream in 16 for each higher tier, at most a quarter.
+constexpr double kStreamReservePerTier = 1.0 / 16;
+constexpr double kMaxStreamReserve = 0.25;
+constexpr double kPowerReservePerTier = 0.04;
+constexpr double kMaxPowerReserve = 0.1;
+
+// Long requests leave an eighth of the streams to short ones, since a long
+// request holds its stream for minutes. This doesn't apply to requests with a
+// first token objective: short requests would take each stream that becomes
+// free, and under overload the long ones would hardly be served.
+constexpr double kShortStreamReserve = 1.0 / 8;
+
+// A first token is overdue after several times the prediction, which includes
+// the prompts ahead, plus a margin for what isn't predicted.
+constexpr double kOverdueFactor = 4;
+constexpr double kOverdueMarginSeconds = 2;
+
+// Returns the lanes by tier. Within a tier the first lane rotates; otherwise
+// the pool with the lowest number would get all the power.
+std::vector<LaneKey> RotateLanes(State& state) {
   std::vector<LaneKey> lanes = state.queue.Lanes();
-  ++state.rotation;
+  ++state.lane_rotation;
   for (auto first = lanes.begin(); first != lanes.end();) {
     const auto last = std::find_if(
         first, lanes.end(),
         [&](const LaneKey& lane) { return lane.tier != first->tier; });
     const auto count = static_cast<std::uint64_t>(last - first);
-    std::rotate(first,
-                first + static_cast<std::ptrdiff_t>(state.rotation % count),
-                last);
+    std::rotate(
+        first, first + static_cast<std::ptrdiff_t>(state.lane_rotation % count),
+        last);
     first = last;
   }
   return lanes;
 }
 
-// One round of grants over all lanes that a change may have let through.
-class Round {
+// One round of grants over all lanes for which a change may allow a grant.
+class GrantRound {
  public:
-  explicit Round(State& state)
+  explicit GrantRound(State& state)
       : state_(state),
         placer_(state.options.weights, state.fleet, state.power, state.cache),
         closed_pools_(state.fleet.pools(), false) {}
@@ -65,23 +66,26 @@
   void Run();
 
  private:
-  // Whether the lane may fare otherwise than when it was tried last.
-  bool Affected(const LaneKey& lane) const;
+  // Returns whether the result for the lane may differ from the last round.
+  bool IsAffected(const LaneKey& lane) const;
 
-  // Whether its heads were not tried since all of it changed.
-  bool IsNew(const LaneKey& lane) const;
+  // Returns whether the lane's heads must be tried on all servers, and not just
+  // on the changed ones.
+  bool NeedsFullSearch(const LaneKey& lane) const;
 
-  // Tries one lane until nothing more fits, and notes what it waits for.
+  // Grants requests of one lane until nothing more fits, and records what the
+  // lane blocks for lower tiers.
   void GrantLane(const LaneKey& lane);
 
-  // Tries the heads once. True when one was granted.
-  bool GrantOne(const LaneKey& lane);
+  // Grants one head of the lane. Returns false if none can be granted.
+  bool GrantNext(const LaneKey& lane);
 
-  // The same, hopeful or not.
-  bool GrantAmong(const LaneKey& lane, bool hopeful);
+  // Grants one head. If `optimistic`, only urgent heads are tried, and lateness
+  // is judged by a short answer.
+  bool GrantHead(const LaneKey& lane, bool optimistic);
 
-  // A server is kept for a head that is too large for the room there is.
-  void Hold(WaitIndex index, const Placement& placement);
+  // Holds a server for a head that is too large for the free capacity.
+  void HoldServer(WaitIndex index, const Placement& placement);
 
   void Grant(WaitIndex index, const Placement& placement);
 
@@ -89,87 +93,91 @@
   Placer placer_;
   bool all_ = false;
   std::vector<bool> closed_pools_;
-  std::vector<ServerIndex> held_;  // Kept from everybody behind.
+  std::vector<ServerIndex> held_;  // Not available to later requests.
   std::vector<WaitIndex> heads_;
-  LaneBlock block_;  // Of the lane that is tried.
-  const std::vector<ServerIndex>* only_ = nullptr;  // See Search.
-  bool no_room_ = false;
-  bool late_only_ = false;  // All heads were tried, and are too slow.
-  bool power_out_ = false;
+  LaneBlock block_;  // Of the current lane.
+  const std::vector<ServerIndex>* changed_servers_ =
+      // If set, only these servers are tried; see Search::only.
+      nullptr;
+  bool pool_full_ = false;
+  bool all_too_slow_ =
+      // Whether every request of the lane would be late and some are urgent.
+      false;
+  bool power_exhausted_ = false;
 };
 
-void Round::Run() {
+void GrantRound::Run() {
   const Changes& changes = state_.changes;
-  // Watts are shared: where they ran out, any change may help anybody.
-  const bool power_freed = state_.power_short && !changes.pools.empty();
-  all_ = changes.all || power_freed;
-  const bool short_before = state_.power_short && !all_;
-  for (const LaneKey& lane : LanesInTurn(state_)) {
-    if (Affected(lane)) {
+  // Power is shared by all pools: if it ran out, any change may free some.
+  const bool power_may_fit = state_.power_exhausted && !changes.pools.empty();
+  all_ = changes.all || power_may_fit;
+  const bool still_exhausted = state_.power_exhausted && !all_;
+  for (const LaneKey& lane : RotateLanes(state_)) {
+    if (IsAffected(lane)) {
       GrantLane(lane);
     } else {
-      power_out_ = short_before && lane == state_.power_short_at;
+      power_exhausted_ = still_exhausted && lane == state_.power_exhausted_lane;
     }
     // Lower tiers get nothing that this lane waits for.
-    if (power_out_) {
-      state_.power_short_at = lane;
+    if (power_exhausted_) {
+      state_.power_exhausted_lane = lane;
       break;
     }
-    const LaneBlock& block = state_.blocks.at(lane);
-    if (block.pool) closed_pools_[lane.pool] = true;
-    held_.insert(held_.end(), block.held.begin(), block.held.end());
+    const LaneBlock& block = state_.lane_blocks.at(lane);
+    if (block.whole_pool) closed_pools_[lane.pool] = true;
+    held_.insert(held_.end(), block.servers.begin(), block.servers.end());
   }
-  state_.power_short = power_out_;
+  state_.power_exhausted = power_exhausted_;
 }
 
-bool Round::Affected(const LaneKey& lane) const {
+bool GrantRound::IsAffected(const LaneKey& lane) const {
   const std::vector<PoolIndex>& pools = state_.changes.pools;
-  return IsNew(lane) ||
+  return NeedsFullSearch(lane) ||
          std::find(pools.begin(), pools.end(), lane.pool) != pools.end();
 }
 
-bool Round::IsNew(const LaneKey& lane) const {
+bool GrantRound::NeedsFullSearch(const LaneKey& lane) const {
   const std::vector<LaneKey>& lanes = state_.changes.lanes;
-  return all_ || !state_.blocks.contains(lane) ||
+  return all_ || !state_.lane_blocks.contains(lane) ||
          std::find(lanes.begin(), lanes.end(), lane) != lanes.end();
 }
 
-void Round::GrantLane(const LaneKey& lane) {
-  no_room_ = false;
+void GrantRound::GrantLane(const LaneKey& lane) {
+  pool_full_ = false;
   const std::size_t held = held_.size();
-  // Heads that were tried before only look at what has changed.
-  only_ = IsNew(lane) ? nullptr : &state_.changes.servers;
-  const bool granted = GrantOne(lane);
-  const bool same_block = only_ != nullptr && !granted;
-  only_ = nullptr;
+  // Heads that were tried before only need the servers that changed.
+  changed_servers_ = NeedsFullSearch(lane) ? nullptr : &state_.changes.servers;
+  const bool granted = GrantNext(lane);
+  const bool same_block = changed_servers_ != nullptr && !granted;
+  changed_servers_ = nullptr;
   if (granted) {
-    while (!no_room_ && !power_out_ && GrantOne(lane)) {
+    while (!pool_full_ && !power_exhausted_ && GrantNext(lane)) {
     }
   }
   held_.resize(held);
-  if (!same_block) state_.blocks[lane] = block_;
+  if (!same_block) state_.lane_blocks[lane] = block_;
 }
 
-bool Round::GrantOne(const LaneKey& lane) {
-  return GrantAmong(lane, /*hopeful=*/false) ||
-         (late_only_ && GrantAmong(lane, /*hopeful=*/true));
+bool GrantRound::GrantNext(const LaneKey& lane) {
+  return GrantHead(lane, /*optimistic=*/false) ||
+         (all_too_slow_ && GrantHead(lane, /*optimistic=*/true));
 }
 
-bool Round::GrantAmong(const LaneKey& lane, bool hopeful) {
-  late_only_ = false;
+bool GrantRound::GrantHead(const LaneKey& lane, bool optimistic) {
+  all_too_slow_ = false;
   heads_.clear();
   block_ = {};
   if (state_.queue.LaneEmpty(lane)) return false;
-  state_.queue.Heads(lane, kHeadsTried, &heads_);
+  state_.queue.Heads(lane, kMaxHeads, &heads_);
   const Search search{.closed_pools = &closed_pools_,
                       .held = &held_,
-                      .only = only_,
+                      .only = changed_servers_,
                       .contended = state_.queue.LaneSize(lane) > 1,
-                      .hopeful = hopeful};
+                      .hopeful = optimistic};
   bool urgent = false;
   for (const WaitIndex index : heads_) {
     const Waiting& waiting = state_.queue.Get(index);
-    if (hopeful && state_.now < waiting.urgent_at) continue;
+    if (optimistic && state_.now < waiting.urgent_at) continue;
     const Placement placement = placer_.Place(
         waiting, ReservesFor(state_, waiting), search, state_.now);
     switch (placement.hindrance) {
@@ -177,62 +185,63 @@
         Grant(index, placement);
         return true;
       case Hindrance::kNoRoom:
-        no_room_ = true;
-        block_.pool = true;
-        Preempt(state_, index, /*for_power=*/false);
+        pool_full_ = true;
+        block_.whole_pool = true;
+        PreemptFor(state_, index, /*for_power=*/false);
         return false;
       case Hindrance::kNoPower:
-        power_out_ = true;
-        Preempt(state_, index, /*for_power=*/true);
+        power_exhausted_ = true;
+        PreemptFor(state_, index, /*for_power=*/true);
         return false;
       case Hindrance::kReserved:
-        block_.pool = true;
-        Preempt(state_, index, /*for_power=*/false);
-        // What is kept from a short one is kept from all behind it.
+        block_.whole_pool = true;
+        PreemptFor(state_, index, /*for_power=*/false);
+        // A reserve that excludes a short request excludes all requests behind
+        // it.
         if (!waiting.is_long) return false;
         break;
       case Hindrance::kTooLarge:
-        Hold(index, placement);
+        HoldServer(index, placement);
         break;
       case Hindrance::kTooSlow:
         urgent |= state_.now >= waiting.urgent_at;
         break;
     }
   }
-  // Everybody was tried and nobody would be in time: what can wait no longer is
-  // begun in hope rather than lost while servers stand idle.
-  late_only_ = urgent && state_.queue.LaneSize(lane) <= heads_.size();
+  // If every request of the lane was tried and would be late, urgent ones are
+  // granted optimistically rather than lost while servers are idle.
+  all_too_slow_ = urgent && state_.queue.LaneSize(lane) <= heads_.size();
   return false;
 }
 
-void Round::Hold(WaitIndex index, const Placement& placement) {
+void GrantRound::HoldServer(WaitIndex index, const Placement& placement) {
   if (placement.server == kNoIndex) return;
-  // From lower tiers at once, from those behind it in its own only after a
-  // while.
-  block_.held.push_back(placement.server);
+  // The server is held from lower tiers at once, but from later requests of the
+  // same lane only after kMaxBypassTime.
+  block_.servers.push_back(placement.server);
   const absl::Time since = state_.queue.Get(index).since;
-  if (state_.now - since >= kPassedFor) held_.push_back(placement.server);
+  if (state_.now - since >= kMaxBypassTime) held_.push_back(placement.server);
 }
 
-void Round::Grant(WaitIndex index, const Placement& placement) {
+void GrantRound::Grant(WaitIndex index, const Placement& placement) {
   const absl::Time now = state_.now;
   const Waiting& head = state_.queue.Get(index);
-  // Before it is taken out, as the backlog may end with it.
+  // Must come before the removal, which may end the backlog.
   state_.lane_drains.at({head.request.tier, head.pool}).Granted(head.work, now);
   Waiting waiting = RemoveWaiting(state_, index);
   Server& server = state_.fleet.at(placement.server);
   const Demand& demand = placement.demand;
 
-  // The turn, the rate and the drain are paid with the estimate; the end of the
-  // request corrects the first.
+  // Charges the queue, the rate limit and the drain rates with the estimate. On
+  // completion the actual work corrects the queue and the rate limit.
   state_.queue.Charge(waiting);
   state_.limits.Runs(waiting.workspace);
   state_.limits.Charge(waiting.workspace,
                        waiting.request.prompt_tokens + waiting.output.median);
-  state_.drains[waiting.pool].Granted(waiting.work, now);
+  state_.pool_drains[waiting.pool].Granted(waiting.work, now);
 
-  Running running = BeginOn(state_, std::move(waiting), placement.server,
-                            demand, placement.cached_tokens);
+  Running running = MakeRunning(state_, std::move(waiting), placement.server,
+                                demand, placement.cached_tokens);
   const Waiting& origin = running.origin;
   server.Begin(demand, now);
   state_.power.Begin(placement.server, /*prefilling=*/true);
@@ -248,8 +257,8 @@
 
 }  // namespace
 
-Running BeginOn(const State& state, Waiting waiting, ServerIndex index,
-                const Demand& demand, double cached_tokens) {
+Running MakeRunning(const State& state, Waiting waiting, ServerIndex index,
+                    const Demand& demand, double cached_tokens) {
   const Server& server = state.fleet.at(index);
   const absl::Time now = state.now;
   Running running;
@@ -258,7 +267,8 @@
   running.cached_tokens = cached_tokens;
   running.expected_first =
       server.ExpectedFirstToken(demand.prefill_tokens, now);
-  // A prefix that was evicted unseen must not look like a slow server.
+  // Upper bound of the expectation: an unnoticed eviction of the prefix must
+  // not look like a slow server.
   const double prompt = waiting.request.prompt_tokens;
   running.expected_uncached = server.ExpectedFirstToken(prompt, now);
   running.predicted_first = demand.plain
@@ -266,14 +276,14 @@
                                 : server.FirstTokenSeconds(prompt, now);
   running.granted = now;
   running.reported = now;
-  // A call of a plain service shows nothing before its end, and may take any
-  // time: silence says nothing. A slow server shows in the mean of its calls,
-  // and a dead one is judged by those who poll it.
+  // A plain call reports nothing before its end and may take any time, so it is
+  // never overdue. A slow server shows in the mean duration of its calls, and a
+  // dead one is detected by the server poller.
   running.overdue =
       demand.plain
           ? absl::InfiniteFuture()
-          : now + absl::Seconds(kSilenceSeconds +
-                                kSilenceFactor * running.predicted_first);
+          : now + absl::Seconds(kOverdueMarginSeconds +
+                                kOverdueFactor * running.predicted_first);
   running.origin = std::move(waiting);
   return running;
 }
@@ -281,22 +291,22 @@
 Reserves ReservesFor(const State& state, const Waiting& waiting) {
   Reserves reserves;
   const int rank = waiting.request.tier.rank;
-  const absl::Time since = state.now - kActive;
+  const absl::Time since = state.now - kTierActivityWindow;
   for (const auto& [above, activity] : state.activity) {
     if (above >= rank) break;
-    if (activity.last < since) continue;
-    reserves.streams += kStreamsPerTier;
-    reserves.power += kPowerPerTier;
+    if (activity.last_arrival < since) continue;
+    reserves.streams += kStreamReservePerTier;
+    reserves.power += kPowerReservePerTier;
   }
-  reserves.streams = std::min(reserves.streams, kMaxStreams);
-  reserves.power = std::min(reserves.power, kMaxPower);
+  reserves.streams = std::min(reserves.streams, kMaxStreamReserve);
+  reserves.power = std::min(reserves.power, kMaxPowerReserve);
   const bool bounded =
       waiting.request.first_token_due != absl::InfiniteFuture();
   if (!waiting.is_long || bounded) return reserves;
   for (const auto& [tier, activity] : state.activity) {
     if (tier > rank) break;
-    if (activity.last_short < since) continue;
-    reserves.streams += kStreamsForShort;
+    if (activity.last_short_arrival < since) continue;
+    reserves.streams += kShortStreamReserve;
     break;
   }
   return reserves;
@@ -305,7 +315,7 @@
 void GrantWaiting(State& state) {
   const Changes& changes = state.changes;
   if (!changes.all && changes.pools.empty() && changes.lanes.empty()) return;
-  if (!state.queue.empty()) Round(state).Run();
+  if (!state.queue.empty()) GrantRound(state).Run();
   state.changes = {};
 }
 
--- a/src/schedule/grant.h
+++ b/src/schedule/grant.h
@@ -1,6 +1,6 @@
-// Grants what waits while there is room: strictly by tier, and within a lane in
-// the queue's order, of which only a few heads are tried, so that one that does
-// not fit holds up nobody who does.
+// Grants waiting requests while there is free capacity: strictly by tier, and
+// within a lane in the queue's order. A few heads of each lane are tried, so
+// that a request that doesn't fit doesn't block one that does.
 
 #ifndef GENTIANLB_SCHEDULE_GRANT_H_
 #define GENTIANLB_SCHEDULE_GRANT_H_
@@ -10,16 +10,17 @@
 
 namespace gentianlb::schedule {
 
-// A request that begins on `server` now, with the times by which its answer
-// will be measured.
-Running BeginOn(const State& state, Waiting waiting, ServerIndex server,
-                const Demand& demand, double cached_tokens);
+// Returns the record of a request that starts on `server` now, with the
+// expected times its response is compared to.
+Running MakeRunning(const State& state, Waiting waiting, ServerIndex server,
+                    const Demand& demand, double cached_tokens);
 
-// Does nothing unless something changed that may have made room.
+// Grants as many waiting requests as possible. Does nothing unless a change
+// since the last call may have freed capacity.
 void GrantWaiting(State& state);
 
-// Room that a request must leave for shorter and more urgent ones that are
-// likely to come.
+// Returns the capacity that a request must leave free for shorter and
+// higher-priority requests that are likely to arrive.
 Reserves ReservesFor(const State& state, const Waiting& waiting);
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/intake.cc
+++ b/src/schedule/intake.cc
@@ -8,27 +8,29 @@
 namespace gentianlb::schedule {
 namespace {
 
-// An answer this many times longer than the service's usual one is long.
+// A request is long if its expected answer is more than this many times the
+// median of the service.
 constexpr int kLongFactor = 4;
 
-// A third server that can't be reached either is a fault of the network that
-// further tries won't mend.
+// If three servers in a row can't be reached, the network is at fault and more
+// retries won't help.
 constexpr int kMaxAttempts = 3;
 
-// So close to its last start a request may cost others something. Cancelling a
-// running request and getting its room takes a few milliseconds; half a second
-// leaves time for several attempts. Long requests have more to lose and begin
-// sooner.
-constexpr absl::Duration kUrgentBefore = absl::Milliseconds(500);
-constexpr double kUrgentPart = 0.25;
+// A request becomes urgent, and may preempt others, this long before its latest
+// start. Cancelling a running request frees its capacity within a few
+// milliseconds, so half a second allows several attempts. Long requests have
+// more to lose and become urgent earlier.
+constexpr absl::Duration kMinUrgentLead = absl::Milliseconds(500);
+constexpr double kUrgentLeadFraction = 0.25;
 
-// Without any usable server nothing is known but that hosts need some seconds
-// to come back.
-constexpr double kNoServerSeconds = 2;
+// Retry time if a pool has no usable server: hosts need a few seconds to
+// restart.
+constexpr double kNoServerRetrySeconds = 2;
 
-// On the fastest server, alone, for an answer of `output` tokens.
-double BestServiceSeconds(const State& state, const Waiting& waiting,
-                          double output) {
+// Returns the service time of an answer of `output` tokens on the fastest idle
+// server.
+double MinServiceSeconds(const State& state, const Waiting& waiting,
+                         double output) {
   if (waiting.request.model.empty()) return 0;
   const Pool& pool = state.fleet.pool(waiting.pool);
   const PrefixCache::Lookup lookup = state.cache.Find(waiting.marks);
@@ -45,27 +47,31 @@
   return seconds;
 }
 
-void NoteActivity(State& state, const Waiting& waiting) {
-  Activity& activity = state.activity[waiting.request.tier.rank];
-  activity.last = state.now;
-  if (!waiting.is_long) activity.last_short = state.now;
+void RecordActivity(State& state, const Waiting& waiting) {
+  TierActivity& activity = state.activity[waiting.request.tier.rank];
+  activity.last_arrival = state.now;
+  if (!waiting.is_long) activity.last_short_arrival = state.now;
 }
 
-// The last moment at which the fastest server would put out the first token in
-// time.
-absl::Time LatestForFirstToken(const State& state, const Waiting& waiting) {
-  const absl::Time due = waiting.request.first_token_due;
-  if (due == absl::InfiniteFuture()) return due;
-  return due - absl::Seconds(BestServiceSeconds(state, waiting, /*output=*/0));
+// Returns the latest start at which the fastest server meets the first token
+// deadline.
+absl::Time LatestStartForFirstToken(const State& state,
+                                    const Waiting& waiting) {
+  const absl::Time deadline = waiting.request.first_token_due;
+  if (deadline == absl::InfiniteFuture()) return deadline;
+  return deadline -
+         absl::Seconds(MinServiceSeconds(state, waiting, /*output=*/0));
 }
 
-// Where an objective of the first token bounds the wait, the shortest come
-// first: when not all can be in time, the most are. Answers' lengths differ
-// fiftyfold, and a few long ones would use most of the streams. None waits for
-// long, as all are out or refused within their objective. Without one, by
-// slack: a long one's turn comes as its own runs out.
-absl::Time PlaceInLine(const Waiting& waiting, absl::Duration usual_service) {
-  // The age of those that wait is then worth little against their length.
+// Returns the sort key of a request within its workspace.
+//
+// Requests with a first token deadline are served shortest first, so that as
+// many as possible are in time if not all can be: answer lengths differ by a
+// factor of fifty, and a few long ones would occupy most streams. None waits
+// long, as all are granted or refused within their objective. Other requests
+// are ordered by slack: a long one is served as its slack runs out.
+absl::Time OrderTime(const Waiting& waiting, absl::Duration usual_service) {
+  // Large enough that length outweighs the time already waited.
   constexpr double kLengthWeight = 10;
   if (waiting.request.first_token_due == absl::InfiniteFuture()) {
     return waiting.latest_start;
@@ -73,11 +79,11 @@
   return waiting.since + kLengthWeight * usual_service;
 }
 
-// How long until the turn of `waiting` comes, counting only what the order puts
-// ahead of it.
-double WaitSeconds(const State& state, const Waiting& waiting) {
+// Returns the expected time until `waiting` is granted, counting only the work
+// that is ahead of it in the order.
+double EstimateWaitSeconds(const State& state, const Waiting& waiting) {
   const LaneKey lane{waiting.request.tier, waiting.pool};
-  const double above = state.queue.WorkAbove(lane.tier, lane.pool);
+  const double above = state.queue.WorkInHigherTiers(lane.tier, lane.pool);
   const double ahead = state.queue.WorkAhead(lane, waiting.workspace,
                                              waiting.weight, waiting.order_at);
   return above + ahead <= 0
@@ -85,9 +91,9 @@
              : (above + ahead) / DrainPerSecond(state, waiting.pool);
 }
 
-// Whether those of its own tier that are served before it use up the time for
-// its first token, at the rate that higher tiers leave them.
-bool TierIsFull(const State& state, const Waiting& waiting) {
+// Returns whether the work ahead of it in its own tier takes longer than the
+// time to its latest start, at the rate that higher tiers leave to the lane.
+bool LaneBacklogTooLong(const State& state, const Waiting& waiting) {
   const LaneKey lane{waiting.request.tier, waiting.pool};
   const double ahead = state.queue.WorkAhead(lane, waiting.workspace,
                                              waiting.weight, waiting.order_at);
@@ -95,102 +101,107 @@
   return ahead > left * LaneDrainPerSecond(state, lane);
 }
 
-// Whether its first token can't be out in time, by the backlog.
-bool MissesObjective(const State& state, const Waiting& waiting) {
+// Returns whether the backlog makes it miss its first token deadline.
+bool MissesFirstTokenObjective(const State& state, const Waiting& waiting) {
   if (waiting.request.first_token_due == absl::InfiniteFuture()) return false;
-  const Outlook outlook{
-      .wait = WaitSeconds(state, waiting),
-      .service = 0,
-      .deadline = absl::ToDoubleSeconds(waiting.latest_start - state.now)};
-  return Unreachable(outlook) || Overloaded(outlook) ||
-         TierIsFull(state, waiting);
+  const AdmissionEstimate estimate{
+      .wait_seconds = EstimateWaitSeconds(state, waiting),
+      .service_seconds = 0,
+      .deadline_seconds =
+          absl::ToDoubleSeconds(waiting.latest_start - state.now)};
+  return DeadlineUnreachable(estimate) || BacklogTooLong(estimate) ||
+         LaneBacklogTooLong(state, waiting);
 }
 
-// True when it was refused, because it can't finish in time.
-bool RefuseLate(State& state, const Waiting& waiting) {
+// Refuses a request that can't finish in time. Returns whether it was refused.
+bool RefuseIfLate(State& state, const Waiting& waiting) {
   const Request& request = waiting.request;
-  const Outlook outlook{
-      .wait = WaitSeconds(state, waiting),
-      .service = absl::ToDoubleSeconds(waiting.best_service),
-      .deadline = absl::ToDoubleSeconds(request.deadline - state.now)};
-  if (!Unreachable(outlook) && !Overloaded(outlook) &&
-      !MissesObjective(state, waiting)) {
+  const AdmissionEstimate estimate{
+      .wait_seconds = EstimateWaitSeconds(state, waiting),
+      .service_seconds = absl::ToDoubleSeconds(waiting.best_service),
+      .deadline_seconds = absl::ToDoubleSeconds(request.deadline - state.now)};
+  if (!DeadlineUnreachable(estimate) && !BacklogTooLong(estimate) &&
+      !MissesFirstTokenObjective(state, waiting)) {
     return false;
   }
-  // Power is named only when no lower tier could give up some.
+  // Lack of power is reported only if no lower tier could give up some.
   const bool lower_waits = state.queue.LowestTier() > request.tier;
   const bool for_power =
-      state.power_short && !lower_waits && !Unreachable(outlook);
+      state.power_exhausted && !lower_waits && !DeadlineUnreachable(estimate);
   const Code code = for_power ? Code::kPowerShort : Code::kDeadlineUnreachable;
   RefuseRequest(state, request, code,
-                ComeBackAfter(state, {request.tier, waiting.pool}));
+                LaneRetryAfter(state, {request.tier, waiting.pool}));
   return true;
 }
 
-// Room for one request of a workspace that is at its bound: from its own lower
-// tiers. False when it has none.
-bool ShedOwnLower(State& state, const Request& request,
-                  WorkspaceIndex workspace) {
+// Sheds one request of a lower tier of a workspace that is at its limit.
+// Returns false if it has none.
+bool ShedOwnLowerTier(State& state, const Request& request,
+                      WorkspaceIndex workspace) {
   const std::vector<LaneKey> lanes = state.queue.Lanes();
   for (auto lane = lanes.rbegin(); lane != lanes.rend(); ++lane) {
     if (lane->tier <= request.tier) return false;
-    const WaitIndex last = state.queue.LastOf(*lane, workspace);
-    if (last == kNoIndex) continue;
-    // Its own workspace's bound is why, not the site's room: others that wait
-    // in lower tiers are not in question.
-    RefuseWaiting(state, last, Code::kWorkspaceQueueFull,
-                  ComeBackAfter(state, *lane));
+    const WaitIndex candidate = state.queue.LastInWorkspace(*lane, workspace);
+    if (candidate == kNoIndex) continue;
+    // The cause is the workspace's limit, not a lack of capacity, so waiting
+    // requests of other workspaces in lower tiers don't matter.
+    RefuseWaiting(state, candidate, Code::kWorkspaceQueueFull,
+                  LaneRetryAfter(state, *lane));
     return true;
   }
   return false;
 }
 
-// True when it was refused, because its workspace is at a bound.
-bool RefuseOverLimit(State& state, const Request& request,
-                     WorkspaceIndex workspace, PoolIndex pool) {
+// Refuses a request whose workspace is at a limit. Returns whether it was
+// refused.
+bool RefuseIfOverLimit(State& state, const Request& request,
+                       WorkspaceIndex workspace, PoolIndex pool) {
   const auto breach = state.limits.Check(workspace, request, state.now);
   if (!breach) return false;
   if (breach->code == Code::kWorkspaceQueueFull &&
-      ShedOwnLower(state, request, workspace)) {
-    return RefuseOverLimit(state, request, workspace, pool);
+      ShedOwnLowerTier(state, request, workspace)) {
+    return RefuseIfOverLimit(state, request, workspace, pool);
   }
-  const absl::Duration backlog = ComeBackAfter(state, {request.tier, pool});
+  const absl::Duration backlog = LaneRetryAfter(state, {request.tier, pool});
   RefuseRequest(state, request, breach->code,
                 std::max(backlog, breach->retry_after));
   return true;
 }
 
-// Makes room in a full queue. True when it is `waiting` itself that has to go:
-// nobody below it waits, and its own workspace has the most waiting.
-bool RefuseFull(State& state, const Waiting& waiting) {
+// Sheds a request if the queue is full. Returns true if `waiting` itself was
+// refused, because no lower tier waits and its own workspace has the most work
+// waiting.
+bool RefuseIfFull(State& state, const Waiting& waiting) {
   if (state.queue.size() < state.options.max_waiting) return false;
   const Tier lowest = state.queue.LowestTier();
   const Tier tier = waiting.request.tier;
-  const WaitIndex last = state.queue.ShedCandidate(lowest);
-  const bool below = lowest > tier;
-  const bool louder =
-      lowest == tier && state.queue.Get(last).workspace != waiting.workspace;
-  const LaneKey lane{below ? lowest : tier, waiting.pool};
-  if (below || louder) {
-    RefuseWaiting(state, last,
-                  below ? Code::kShedForHigherTier : Code::kQueueFull,
-                  ComeBackAfter(state, lane));
+  const WaitIndex candidate = state.queue.ShedCandidate(lowest);
+  const bool sheds_lower_tier = lowest > tier;
+  const bool sheds_same_tier =
+      lowest == tier &&
+      state.queue.Get(candidate).workspace != waiting.workspace;
+  const LaneKey lane{sheds_lower_tier ? lowest : tier, waiting.pool};
+  if (sheds_lower_tier || sheds_same_tier) {
+    RefuseWaiting(
+        state, candidate,
+        sheds_lower_tier ? Code::kShedForHigherTier : Code::kQueueFull,
+        LaneRetryAfter(state, lane));
     return false;
   }
   RefuseRequest(state, waiting.request, Code::kQueueFull,
-                ComeBackAfter(state, lane));
+                LaneRetryAfter(state, lane));
   return true;
 }
 
 }  // namespace
 
-Waiting Describe(const State& state, const Request& request,
-                 WorkspaceIndex workspace, PoolIndex pool) {
+Waiting MakeWaitingRequest(const State& state, const Request& request,
+                           WorkspaceIndex workspace, PoolIndex pool) {
   Waiting waiting;
   waiting.request = request;
   waiting.marks =
       request.parts.empty() ? MarksOf(request.prefix) : request.parts;
-  waiting.request.prefix = {};  // The marks are enough, and far smaller.
+  waiting.request.prefix = {};  // The marks suffice and are far smaller.
   waiting.request.parts = {};
   waiting.avoid = state.fleet.Find(request.avoid);
   waiting.workspace = workspace;
@@ -202,88 +213,92 @@
         waiting.output.median > kLongFactor * state.estimator.ServiceMedian();
   }
   waiting.work = WorkOf(request.prompt_tokens, waiting.output.median);
-  // Hopeless is what could not finish even with a short answer; urgent what
-  // needs its turn now if its answer is as long as usual.
+  // Refusal is based on a short answer, urgency on one of median length.
   waiting.best_service = absl::Seconds(
-      BestServiceSeconds(state, waiting, HopefulOutput(waiting.output)));
-  const absl::Duration usual =
-      absl::Seconds(BestServiceSeconds(state, waiting, waiting.output.median));
-  // A prompt so long that no server could be in time, also alone, has only its
-  // deadline; refused for its size, it could never run.
-  if (LatestForFirstToken(state, waiting) < state.now) {
+      MinServiceSeconds(state, waiting, HopefulOutput(waiting.output)));
+  const absl::Duration usual_service =
+      absl::Seconds(MinServiceSeconds(state, waiting, waiting.output.median));
+  // No server can meet the first token deadline of a very long prompt, even if
+  // idle. Such a request only has its overall deadline; otherwise it would
+  // always be refused.
+  if (LatestStartForFirstToken(state, waiting) < state.now) {
     waiting.request.first_token_due = absl::InfiniteFuture();
   }
   waiting.latest_start = std::min(request.deadline - waiting.best_service,
-                                  LatestForFirstToken(state, waiting));
+                                  LatestStartForFirstToken(state, waiting));
   const absl::Time last_usual_start =
-      std::min(request.deadline - usual, LatestForFirstToken(state, waiting));
+      std::min(request.deadline - usual_service,
+               LatestStartForFirstToken(state, waiting));
   waiting.urgent_at =
-      last_usual_start - std::max(kUrgentBefore, kUrgentPart * usual);
+      last_usual_start -
+      std::max(kMinUrgentLead, kUrgentLeadFraction * usual_service);
   waiting.since = state.now;
-  waiting.order_at = PlaceInLine(waiting, usual);
+  waiting.order_at = OrderTime(waiting, usual_service);
   return waiting;
 }
 
-void Arrive(State& state, const Request& request) {
-  // Told twice, as after a change of dispatcher.
-  const bool known = state.waiting_by_id.contains(request.id) ||
-                     state.running.Find(request.id) != kNoIndex;
-  if (known) return;
+void OnRequestArrived(State& state, const Request& request) {
+  // Entry hosts send requests again after a change of dispatcher.
+  const bool already_known = state.waiting_by_id.contains(request.id) ||
+                             state.running.Find(request.id) != kNoIndex;
+  if (already_known) return;
 
-  // Somebody has to be there to serve it.
+  // At least one server must be usable.
   const PoolIndex pool = state.fleet.FindPool(request.model);
   if (pool == kNoIndex || state.fleet.pool(pool).usable == 0) {
     RefuseRequest(state, request, Code::kNoServer,
-                  state.come_back.After(kNoServerSeconds));
+                  state.retry_after_jitter.After(kNoServerRetrySeconds));
     return;
   }
 
-  // Its workspace's limits come first: what is over them delays nobody.
+  // Workspace limits come first, so that a request over the limit delays no
+  // other.
   const WorkspaceIndex workspace = state.limits.Number(request.workspace);
-  if (RefuseOverLimit(state, request, workspace, pool)) return;
+  if (RefuseIfOverLimit(state, request, workspace, pool)) return;
 
-  Waiting waiting = Describe(state, request, workspace, pool);
-  NoteActivity(state, waiting);
-  if (RefuseLate(state, waiting)) return;
-  if (RefuseFull(state, waiting)) return;
+  Waiting waiting = MakeWaitingRequest(state, request, workspace, pool);
+  RecordActivity(state, waiting);
+  if (RefuseIfLate(state, waiting)) return;
+  if (RefuseIfFull(state, waiting)) return;
   waiting.sequence = state.next_sequence++;
   AddWaiting(state, std::move(waiting));
 }
 
-void Retry(State& state, Waiting waiting, ServerIndex failed) {
+void RetryOrRefuse(State& state, Waiting waiting, ServerIndex failed) {
   const LaneKey lane{waiting.request.tier, waiting.pool};
-  // The turn was not used.
-  state.queue.Correct(lane, waiting.workspace, waiting.weight, -waiting.work);
+  // Refunds the charge of the grant, which was not used.
+  state.queue.CorrectCharge(lane, waiting.workspace, waiting.weight,
+                            -waiting.work);
   ++waiting.attempts;
   waiting.avoid = failed;
   const bool usable = state.fleet.pool(waiting.pool).usable > 0;
   if (!usable || waiting.attempts >= kMaxAttempts || !state.retries.Take()) {
     RefuseRequest(state, waiting.request, Code::kServerUnreachable,
-                  ComeBackAfter(state, lane));
+                  LaneRetryAfter(state, lane));
     return;
   }
   ++state.counters.retried;
   AddWaiting(state, std::move(waiting));
 }
 
-void ExpireWaiting(State& state) {
-  while (state.queue.FirstExpiry() <= state.now) {
-    const WaitIndex index = state.queue.FirstExpiring();
+void RefuseExpired(State& state) {
+  while (state.queue.NextExpiryTime() <= state.now) {
+    const WaitIndex index = state.queue.NextToExpire();
     const Waiting& waiting = state.queue.Get(index);
     const bool passed = waiting.request.deadline <= state.now;
     const LaneKey lane{waiting.request.tier, waiting.pool};
     RefuseWaiting(state, index,
                   passed ? Code::kDeadlinePassed : Code::kDeadlineUnreachable,
-                  ComeBackAfter(state, lane));
+                  LaneRetryAfter(state, lane));
   }
 }
 
 void RefuseUnserved(State& state) {
   for (const LaneKey& lane : state.queue.Lanes()) {
     if (state.fleet.pool(lane.pool).usable > 0) continue;
-    for (const WaitIndex index : state.queue.AllOf(lane.pool)) {
+    for (const WaitIndex index : state.queue.RequestsInPool(lane.pool)) {
       RefuseWaiting(state, index, Code::kNoServer,
-                    state.come_back.After(kNoServerSeconds));
+                    state.retry_after_jitter.After(kNoServerRetrySeconds));
     }
   }
 }
--- a/src/schedule/intake.h
+++ b/src/schedule/intake.h
@@ -1,5 +1,5 @@
-// A request arrives: it is described, limited, refused at once, or put into the
-// queue, for which a request of a lower tier may have to leave.
+// Intake of arriving requests: derives their values, applies limits, and
+// refuses or queues them. Queueing a request may shed one of a lower tier.
 
 #ifndef GENTIANLB_SCHEDULE_INTAKE_H_
 #define GENTIANLB_SCHEDULE_INTAKE_H_
@@ -8,20 +8,23 @@
 
 namespace gentianlb::schedule {
 
-void Arrive(State& state, const Request& request);
+// Queues an arriving request or refuses it. Ignores a request that is already
+// waiting or running.
+void OnRequestArrived(State& state, const Request& request);
 
-// What was granted and certainly not sent waits once more, while the budget
-// for retries lasts.
-void Retry(State& state, Waiting waiting, ServerIndex failed);
+// Queues a request again that was granted but certainly not sent. Refuses it if
+// the attempts or the retry budget are used up, or no server is usable.
+void RetryOrRefuse(State& state, Waiting waiting, ServerIndex failed);
 
-// The request with what is derived from it; its pool must be known.
-Waiting Describe(const State& state, const Request& request,
-                 WorkspaceIndex workspace, PoolIndex pool);
+// Returns the request with its derived values; `pool` must be the pool of its
+// model.
+Waiting MakeWaitingRequest(const State& state, const Request& request,
+                           WorkspaceIndex workspace, PoolIndex pool);
 
-// Refuses what no server can finish in time any more.
-void ExpireWaiting(State& state);
+// Refuses waiting requests that no server can finish in time any more.
+void RefuseExpired(State& state);
 
-// Refuses what waits for a pool that has no server left.
+// Refuses waiting requests whose pool has no usable server left.
 void RefuseUnserved(State& state);
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/order.h
+++ b/src/schedule/order.h
@@ -1,15 +1,16 @@
-// Which waiting request is next.
+// Queue of waiting requests: decides which one is granted next.
 //
-// Load pattern: bursts, one workspace that sends far more than its share, long
-// jobs among short ones. In order of arrival, the loud workspace delays all
-// others and a tender draft holds up a size question.
+// Load pattern: bursts, one workspace that sends far more than its share, and
+// long jobs among short ones. In order of arrival, the busy workspace would
+// delay all others, and a long draft would hold up a short question.
 //
-// A lane holds what waits for one pool of servers in one tier. Between tiers
-// the order is strict. Inside a lane it is start-time fair queueing over
-// workspaces, by tokens of work and not by count; inside a workspace the least
-// slack goes first, whatever the size, so that short ones with a near deadline
-// pass long ones, and a long one's turn comes as its own slack runs out. Each
-// operation costs O(log n) of what waits.
+// A lane holds the waiting requests of one server pool in one tier. Between
+// tiers the order is strict. Within a lane, workspaces share by start-time fair
+// queueing, measured in tokens of work and not in requests. Within a workspace
+// the request with the least slack goes first, whatever its size: short
+// requests with a near deadline pass long ones, and a long one is served as its
+// own slack runs out. Each operation costs O(log n) in the number of waiting
+// requests.
 
 #ifndef GENTIANLB_SCHEDULE_ORDER_H_
 #define GENTIANLB_SCHEDULE_ORDER_H_
@@ -32,27 +33,28 @@
 
 namespace gentianlb::schedule {
 
-// Heads of a lane that are tried before it is left alone: three workspaces with
-// a long and a short one each. More cost time and find little.
-inline constexpr std::size_t kHeadsTried = 6;
+// Maximum number of heads of a lane that are tried in one round: a long and a
+// short request of three workspaces. Trying more costs time and rarely finds a
+// grant.
+inline constexpr std::size_t kMaxHeads = 6;
 
-// A request that waits, with what was derived from it.
+// A request in the queue, with the values derived from it.
 struct Waiting {
-  Request request;  // Its prefix is moved out into `marks`.
+  Request request;  // `prefix` and `parts` are replaced by `marks`.
   std::vector<PrefixMark> marks;
   WorkspaceIndex workspace = 0;
   PoolIndex pool = 0;
-  double weight = 1;  // The workspace's.
+  double weight = 1;  // Of the workspace.
   OutputEstimate output;
-  double work = 0;  // Tokens.
+  double work = 0;  // In tokens.
   bool is_long = false;
-  absl::Duration best_service;  // Fastest server, alone, a short answer.
-  absl::Time latest_start;      // Later, no server makes the deadline.
-  absl::Time order_at;          // Its place among those of its workspace.
-  absl::Time urgent_at;         // From here on it may preempt.
-  absl::Time since;             // When it came into the queue.
-  std::uint64_t sequence = 0;   // Of arrival.
-  int attempts = 0;             // Grants that came back as not sent.
+  absl::Duration best_service;  // On the fastest idle server, short answer.
+  absl::Time latest_start;      // Latest start that meets the deadline.
+  absl::Time order_at;          // Sort key within its workspace.
+  absl::Time urgent_at;         // From then on it may preempt.
+  absl::Time since;             // Time of arrival in the queue.
+  std::uint64_t sequence = 0;   // Order of arrival.
+  int attempts = 0;             // Grants that ended as not sent.
   ServerIndex avoid = kNoIndex;
 };
 
@@ -71,55 +73,59 @@
   std::size_t size() const { return waiting_.size(); }
   bool empty() const { return size() == 0; }
 
-  // Lanes with anything waiting, by tier; inside a tier by pool.
+  // Returns the lanes that hold requests, ordered by tier, then by pool.
   std::vector<LaneKey> Lanes() const;
 
   bool LaneEmpty(const LaneKey& key) const;
 
-  // The first few of a lane in the order in which they should be granted: the
-  // heads of the first workspaces, each with its first long and short one, then
-  // those behind them.
+  // Appends up to `limit` requests of the lane in the order in which they
+  // should be granted: first the first long and the first short request of each
+  // workspace, then the ones behind them.
   void Heads(const LaneKey& key, std::size_t limit,
              std::vector<WaitIndex>* heads) const;
 
-  // The first workspace's turn was used for `waiting`, which is removed.
+  // Charges the workspace for `waiting`, which was granted and is already
+  // removed.
   void Charge(const Waiting& waiting);
 
-  // What was charged for was `tokens` more, or less, than estimated.
-  void Correct(const LaneKey& key, WorkspaceIndex workspace, double weight,
-               double tokens);
+  // Corrects an earlier charge by `tokens`, which is negative if less was used
+  // than charged.
+  void CorrectCharge(const LaneKey& key, WorkspaceIndex workspace,
+                     double weight, double tokens);
 
-  // The lowest tier in which anything waits; rank -1 when nothing does.
+  // Returns the lowest tier with waiting requests; rank -1 if there are none.
   Tier LowestTier() const;
 
-  // Whom to shed in `tier`: of the workspace with the most work waiting, the
-  // one with the most slack.
+  // Returns the request to shed in `tier`: of the workspace with the most
+  // waiting work, the request with the most slack.
   WaitIndex ShedCandidate(Tier tier) const;
 
-  // The same inside one workspace; kNoIndex when it has none in that lane.
-  WaitIndex LastOf(const LaneKey& key, WorkspaceIndex workspace) const;
+  // Returns the workspace's request with the most slack in a lane; kNoIndex if
+  // it has none.
+  WaitIndex LastInWorkspace(const LaneKey& key, WorkspaceIndex workspace) const;
 
-  // Work that waits for `pool` in tiers above `tier`.
-  double WorkAbove(Tier tier, PoolIndex pool) const;
+  // Returns the work that waits for `pool` in tiers above `tier`.
+  double WorkInHigherTiers(Tier tier, PoolIndex pool) const;
   double LaneWork(const LaneKey& key) const;
   std::size_t LaneSize(const LaneKey& key) const;
-  // How many wait for a pool, in all tiers.
+  // Returns the number of requests that wait for a pool, in all tiers.
   int PoolSize(PoolIndex pool) const { return pool_sizes_[pool]; }
 
-  // Work in the lane that is served before a new request of `workspace` whose
-  // place is `order_at`, if all workspaces go on waiting.
+  // Returns the work in the lane that is served before a new request of
+  // `workspace` with sort key `order_at`, if all workspaces stay backlogged.
   double WorkAhead(const LaneKey& key, WorkspaceIndex workspace, double weight,
                    absl::Time order_at) const;
 
-  // The first that no server can finish in time any more.
-  absl::Time FirstExpiry() const;
-  WaitIndex FirstExpiring() const;
+  // Returns the earliest `latest_start` of all waiting requests;
+  // InfiniteFuture() if the queue is empty.
+  absl::Time NextExpiryTime() const;
+  WaitIndex NextToExpire() const;
 
-  // Whether `index` is among the first kHeadsTried of its lane.
-  bool InHeads(WaitIndex index) const;
+  // Returns whether `index` is among the first kMaxHeads of its lane.
+  bool IsHead(WaitIndex index) const;
 
-  // All of a pool, in no order of merit but the same on each run.
-  std::vector<WaitIndex> AllOf(PoolIndex pool) const;
+  // Returns all requests of a pool, in an order that is the same on each run.
+  std::vector<WaitIndex> RequestsInPool(PoolIndex pool) const;
 
  private:
   struct Key {
@@ -131,16 +137,18 @@
       return std::tie(at, sequence) < std::tie(other.at, other.sequence);
     }
   };
-  using Line = absl::btree_set<Key>;
+  using RequestSet = absl::btree_set<Key>;
 
-  // One workspace in one lane.
+  // The waiting requests of one workspace in one lane.
   struct Flow {
-    double tag = 0;  // Virtual time at which its next turn starts.
+    double tag = 0;  // Virtual start time of its next request.
     double weight = 1;
     double work = 0;
-    Line shorts;
-    Line longs;
-    bool empty() const { return shorts.empty() && longs.empty(); }
+    RequestSet short_requests;
+    RequestSet long_requests;
+    bool empty() const {
+      return short_requests.empty() && long_requests.empty();
+    }
   };
 
   struct Lane {
@@ -149,20 +157,22 @@
     double active_weight = 0;
     std::size_t size = 0;
     absl::node_hash_map<WorkspaceIndex, Flow> flows;
-    absl::btree_set<std::pair<double, WorkspaceIndex>> turns;    // By tag.
-    absl::btree_set<std::pair<double, WorkspaceIndex>> by_work;  // Waiting.
-    absl::btree_set<std::pair<double, WorkspaceIndex>> resting;  // By tag.
+    // Flows with waiting requests, by tag and by work.
+    absl::btree_set<std::pair<double, WorkspaceIndex>> by_tag;
+    absl::btree_set<std::pair<double, WorkspaceIndex>> by_work;
+    // Flows without waiting requests, by tag.
+    absl::btree_set<std::pair<double, WorkspaceIndex>> idle;
   };
 
-  static Key PlaceOf(const Waiting& waiting, WaitIndex index);
-  static Key ExpiryOf(const Waiting& waiting, WaitIndex index);
+  static Key OrderKey(const Waiting& waiting, WaitIndex index);
+  static Key ExpiryKey(const Waiting& waiting, WaitIndex index);
   static void Activate(Lane* lane, WorkspaceIndex workspace, Flow* flow);
-  static void Rest(Lane* lane, WorkspaceIndex workspace, Flow* flow);
-  static void MoveTag(Lane* lane, WorkspaceIndex workspace, Flow* flow,
-                      double tag);
+  static void Deactivate(Lane* lane, WorkspaceIndex workspace, Flow* flow);
+  static void SetTag(Lane* lane, WorkspaceIndex workspace, Flow* flow,
+                     double tag);
   static void AddWork(Lane* lane, WorkspaceIndex workspace, Flow* flow,
                       double work);
-  static void ForgetRested(Lane* lane);
+  static void EvictIdleFlows(Lane* lane);
 
   Slab<Waiting> waiting_;
   std::map<LaneKey, Lane> lanes_;
--- a/src/schedule/order_test.cc
+++ b/src/schedule/order_test.cc
@@ -20,7 +20,7 @@
     return queue.Add(std::move(waiting));
   }
 
-  // Grants the first of the lane; its workspace.
+  // Grants the first request of the lane and returns its workspace.
   WorkspaceIndex Next(int tier) {
     std::vector<WaitIndex> heads;
     queue.Heads({Tier{tier}, 0}, 1, &heads);
@@ -41,21 +41,21 @@
     q.Add(0, 1, 100, 10);
     q.Add(0, 2, 10, 10);
   }
-  // One of 100 tokens weighs as much as ten of 10.
+  // One request of 100 tokens counts as much as ten of 10 tokens.
   int small = 0;
   for (int i = 0; i < 11; ++i) small += q.Next(0) == 2 ? 1 : 0;
   BOOST_TEST(small == 10);
 }
 
-// A workspace whose answers came out ten times as long as expected would keep
-// its advantage, if only estimates were charged.
-BOOST_AUTO_TEST_CASE(CorrectionsArePaidFor) {
+// If only estimates were charged, a workspace whose answers are ten times as
+// long as estimated would keep its advantage.
+BOOST_AUTO_TEST_CASE(CorrectionsAreCharged) {
   Queue q;
   for (int i = 0; i < 30; ++i) {
     q.Add(0, 1, 10, 10);
     q.Add(0, 2, 10, 10);
   }
-  q.queue.Correct({Tier{0}, 0}, 1, 1, 100);
+  q.queue.CorrectCharge({Tier{0}, 0}, 1, 1, 100);
   for (int i = 0; i < 10; ++i) BOOST_TEST(q.Next(0) == 2u);
 }
 
@@ -65,17 +65,17 @@
   const WaitIndex big = q.Add(0, 1, 1000, 20, /*is_long=*/true);
   const WaitIndex soon = q.Add(0, 1, 10, 10);
   std::vector<WaitIndex> heads;
-  q.queue.Heads({Tier{0}, 0}, kHeadsTried, &heads);
+  q.queue.Heads({Tier{0}, 0}, kMaxHeads, &heads);
   BOOST_TEST(heads == (std::vector<WaitIndex>{soon, big, late}),
              boost::test_tools::per_element());
   q.queue.Remove(soon);
   heads.clear();
-  q.queue.Heads({Tier{0}, 0}, kHeadsTried, &heads);
+  q.queue.Heads({Tier{0}, 0}, kMaxHeads, &heads);
   BOOST_TEST(heads == (std::vector<WaitIndex>{big, late}),
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(ShedsTheLoudestOfTheLowestTier) {
+BOOST_AUTO_TEST_CASE(ShedsFromTheLargestBacklogOfTheLowestTier) {
   Queue q;
   q.Add(0, 1, 1000, 10);
   q.Add(2, 1, 10, 10);
@@ -85,15 +85,15 @@
   BOOST_TEST(q.queue.ShedCandidate(Tier{2}) == last);
 }
 
-BOOST_AUTO_TEST_CASE(OnlyHigherTiersAndTheOwnShareAreAhead) {
+BOOST_AUTO_TEST_CASE(WorkAheadIsHigherTiersAndTheOwnShare) {
   Queue q;
   q.Add(0, 1, 50, 10);
   for (int i = 0; i < 10; ++i) q.Add(1, 2, 100, 10);
   q.Add(2, 3, 5000, 10);
   const LaneKey lane{Tier{1}, 0};
-  BOOST_TEST(q.queue.WorkAbove(Tier{1}, 0) == 50);
+  BOOST_TEST(q.queue.WorkInHigherTiers(Tier{1}, 0) == 50);
   const absl::Time start = absl::FromUnixSeconds(20);
-  // A workspace that has nothing waiting is served next.
+  // A workspace without waiting requests is served next.
   BOOST_TEST(q.queue.WorkAhead(lane, 3, 1, start) == 0);
   BOOST_TEST(q.queue.WorkAhead(lane, 2, 1, start) == 1000);
 }
--- a/src/schedule/preempt.cc
+++ b/src/schedule/preempt.cc
@@ -8,17 +8,19 @@
 namespace gentianlb::schedule {
 namespace {
 
-// A cancel frees its room a few milliseconds later. Two at a time keep up with
-// hundreds of urgent requests a second and never empty the engines at a blow.
-constexpr int kMaxPreempting = 2;
+// A cancel frees its capacity a few milliseconds later. Two at a time suffice
+// for hundreds of urgent requests a second and never empty the engines at once.
+constexpr int kMaxPendingPreemptions = 2;
 
-// How many that could give way are looked at.
-constexpr int kPreemptTried = 32;
+// Maximum number of candidates that are examined for one preemption.
+constexpr int kMaxVictimsExamined = 32;
 
-// The gain, in tokens of work done in time, against prompt work thrown away.
-bool WorthIt(const Weights& weights, double gained_work, double thrown) {
+// Returns whether the work that can finish in time outweighs the prompt tokens
+// wasted by a cancel, by the deployment's weights.
+bool IsWorthCancelling(const Weights& weights, double gained_work,
+                       double wasted_tokens) {
   return weights.goodput * gained_work >=
-         weights.wasted_prefill * kPromptTokenWork * thrown;
+         weights.wasted_prefill * kPromptTokenWork * wasted_tokens;
 }
 
 bool DrawsPower(const Server& server) {
@@ -33,7 +35,7 @@
 
 }  // namespace
 
-void EnforceShare(State& state) {
+void EnforcePowerShare(State& state) {
   constexpr int kAll = std::numeric_limits<int>::max();
   while (state.power.MustCancel()) {
     const RunIndex victim = state.running.FirstVictim(
@@ -45,20 +47,21 @@
   }
 }
 
-void CancelLate(State& state) {
+void CancelExpired(State& state) {
   while (!state.queue.empty()) {
     const RunIndex index = state.running.EarliestDeadline();
     if (index == kNoIndex) return;
     const Running& running = state.running.Get(index);
     const Request& request = running.origin.request;
     if (request.deadline > state.now) return;
-    // What is nearly done costs others little and throws nothing away.
+    // A request that is nearly finished occupies little capacity; letting it
+    // run wastes nothing.
     const OutputEstimate output =
         Corrected(running.origin.output, running.output_tokens,
                   request.max_output_tokens);
     const double remaining = output.median - running.output_tokens;
-    const double thrown = ComputedPrefill(running, state.now);
-    if (WorthIt(state.options.weights, remaining, thrown)) {
+    const double wasted_tokens = ComputedPrefill(running, state.now);
+    if (IsWorthCancelling(state.options.weights, remaining, wasted_tokens)) {
       CancelRunning(state, index, WasteCause::kDeadlineMissed);
     } else {
       state.running.LetRun(index);
@@ -66,20 +69,22 @@
   }
 }
 
-void Preempt(State& state, WaitIndex index, bool for_power) {
+void PreemptFor(State& state, WaitIndex index, bool for_power) {
   const Waiting& waiting = state.queue.Get(index);
   if (!state.options.preempts || state.now < waiting.urgent_at) return;
-  if (state.preempting >= kMaxPreempting) return;
+  if (state.pending_preemptions >= kMaxPendingPreemptions) return;
   const RunIndex victim = state.running.FirstVictim(
-      waiting.request.tier.rank, kPreemptTried, [&](const Running& running) {
+      waiting.request.tier.rank, kMaxVictimsExamined,
+      [&](const Running& running) {
         const Server& server = state.fleet.at(running.server);
-        const bool helps = for_power
-                               ? DrawsPower(server)
-                               : server.configured &&
-                                     server.health == ServerHealth::kAlive &&
-                                     InPool(server, waiting.pool);
-        return helps && WorthIt(state.options.weights, waiting.work,
-                                ComputedPrefill(running, state.now));
+        const bool frees_capacity =
+            for_power
+                ? DrawsPower(server)
+                : server.configured && server.health == ServerHealth::kAlive &&
+                      InPool(server, waiting.pool);
+        return frees_capacity &&
+               IsWorthCancelling(state.options.weights, waiting.work,
+                                 ComputedPrefill(running, state.now));
       });
   if (victim != kNoIndex) {
     CancelRunning(state, victim, WasteCause::kPreempted);
--- a/src/schedule/preempt.h
+++ b/src/schedule/preempt.h
@@ -1,10 +1,10 @@
-// Cancels work that has begun: the share of watts shrank, a higher tier
-// needs the room, or the deadline has passed while others wait.
+// Cancels running requests: if the power share shrinks, if a higher tier needs
+// the capacity, or if the deadline has passed while other requests wait.
 //
-// Load pattern: a power drop; urgent work that finds every engine filled with
-// overnight work. What is cancelled throws prompt work away, so the lowest tier
-// goes first, in it whoever has computed least, and the deployment's weights
-// say whether it is worth it.
+// Load pattern: a power drop, or urgent requests that find every engine filled
+// with overnight work. Cancelling wastes the computed prompt, so the lowest
+// tier goes first, and within it the request with the least prompt work done.
+// The deployment's weights decide whether a cancel is worth it.
 
 #ifndef GENTIANLB_SCHEDULE_PREEMPT_H_
 #define GENTIANLB_SCHEDULE_PREEMPT_H_
@@ -13,15 +13,17 @@
 
 namespace gentianlb::schedule {
 
-// Cancels, from the lowest tier up, until the worst case is within the share.
-void EnforceShare(State& state);
+// Cancels requests from the lowest tier up until the worst-case power is within
+// the share.
+void EnforcePowerShare(State& state);
 
-// Cancels what is late, while others wait for its room.
-void CancelLate(State& state);
+// Cancels requests past their deadline while others wait for capacity.
+void CancelExpired(State& state);
 
-// Cancels something of a lower tier for a waiting request that is about to
-// miss its last start.
-void Preempt(State& state, WaitIndex index, bool for_power);
+// Cancels a request of a lower tier in favor of the waiting request `index`, if
+// that is close to its latest start. `for_power`: it lacks power, and not a
+// stream in its pool.
+void PreemptFor(State& state, WaitIndex index, bool for_power);
 
 }  // namespace gentianlb::schedule
 
--- a/src/schedule/refuse.cc
+++ b/src/schedule/refuse.cc
@@ -6,15 +6,16 @@
 namespace gentianlb::schedule {
 namespace {
 
-// Estimates of the backlog err both ways. Up to this much over, the request is
-// let wait: it is refused later if need be, while a refused one is lost.
-constexpr double kBenefitOfDoubt = 1.25;
+// Backlog estimates err both ways. A request that is predicted late by up to
+// this factor is queued: it can still be refused later, while a refused request
+// is lost.
+constexpr double kWaitTolerance = 1.25;
 
-// Later than ten minutes the estimate says nothing.
-constexpr double kMaxComeBack = 600;
+// The estimate is meaningless beyond ten minutes.
+constexpr double kMaxRetryAfterSeconds = 600;
 
-// Callers return over half as long again as the backlog needs.
-constexpr double kSpread = 0.5;
+// Retry times are spread over 1 to 1.5 times the backlog.
+constexpr double kRetryAfterSpread = 0.5;
 
 }  // namespace
 
@@ -27,41 +28,42 @@
 void DrainRate::Granted(double work, absl::Time now) {
   if (!backlog_ || backlog_since_ == now) return;
   Advance(now);
-  work_ += work;
+  granted_work_ += work;
 }
 
 void DrainRate::Advance(absl::Time now) {
-  const double passed = absl::ToDoubleSeconds(now - last_);
-  if (backlog_ && passed > 0) {
-    const double kept = std::exp(-passed / memory_.seconds);
-    work_ *= kept;
-    busy_ = busy_ * kept + passed;
+  const double elapsed = absl::ToDoubleSeconds(now - advanced_at_);
+  if (backlog_ && elapsed > 0) {
+    const double decay = std::exp(-elapsed / smoothing_.time_constant_seconds);
+    granted_work_ *= decay;
+    backlog_seconds_ = backlog_seconds_ * decay + elapsed;
   }
-  last_ = now;
+  advanced_at_ = now;
 }
 
 double DrainRate::PerSecond(double capacity, absl::Time now) const {
-  DrainRate until_now = *this;
-  until_now.Advance(now);
-  const double guessed = memory_.guess_seconds;
-  const double work = until_now.work_ + capacity * guessed;
-  return std::max(1e-3, work / (until_now.busy_ + guessed));
+  DrainRate advanced = *this;
+  advanced.Advance(now);
+  const double initial_seconds = smoothing_.initial_seconds;
+  const double work = advanced.granted_work_ + capacity * initial_seconds;
+  return std::max(1e-3, work / (advanced.backlog_seconds_ + initial_seconds));
 }
 
-bool Unreachable(const Outlook& outlook) {
-  return outlook.service > outlook.deadline;
+bool DeadlineUnreachable(const AdmissionEstimate& estimate) {
+  return estimate.service_seconds > estimate.deadline_seconds;
 }
 
-bool Overloaded(const Outlook& outlook) {
-  return outlook.wait > 0 &&
-         outlook.wait + outlook.service > outlook.deadline * kBenefitOfDoubt;
+bool BacklogTooLong(const AdmissionEstimate& estimate) {
+  return estimate.wait_seconds > 0 &&
+         estimate.wait_seconds + estimate.service_seconds >
+             estimate.deadline_seconds * kWaitTolerance;
 }
 
 absl::Duration ComeBack::After(double seconds) {
-  // 53 random bits make a number in [0, 1).
+  // 53 random bits make a double in [0, 1).
   const double uniform = static_cast<double>(random_() >> 11) * 0x1.0p-53;
-  const double base = std::clamp(seconds, shortest_, kMaxComeBack);
-  const double spread = base * (1 + kSpread * uniform);
+  const double base = std::clamp(seconds, min_seconds_, kMaxRetryAfterSeconds);
+  const double spread = base * (1 + kRetryAfterSpread * uniform);
   return absl::Milliseconds(std::llround(spread * 1000));
 }
 
--- a/src/schedule/refuse.h
+++ b/src/schedule/refuse.h
@@ -1,21 +1,21 @@
-// When a request is refused at once, and when its caller may come back.
+// Early refusal: decides whether a request is refused on arrival, and when its
+// caller should retry.
 //
-// Load pattern: overload. A queue that takes everything makes everyone late: by
-// the time a request's turn comes its caller is gone, and the work is wasted. A
-// refusal at once costs little and tells the caller the truth. Without spread
-// come-back times all that were refused return in the same second and make the
-// next burst.
+// Load pattern: overload. A queue that accepts everything makes every request
+// late: the caller has disconnected before its request is granted, and the work
+// is wasted. An early refusal costs little. If all refused callers retried
+// after the same time, they would cause the next burst, so the retry times are
+// spread.
 //
-// The wait is the work ahead over the drain rate: what was granted in a second
-// while requests waited, measured, with the configured capacity as the first
-// guess. Ahead is only what the order puts ahead: higher tiers, and of the same
-// tier what fair queueing serves first. Work of lower tiers never counts.
+// The expected wait is the work ahead divided by the drain rate: the work
+// granted per second while requests waited, with the configured capacity as the
+// initial value. The work ahead is that of higher tiers and, within the same
+// tier, what fair queueing serves first. Work of lower tiers never counts.
 //
-// Higher tiers that go on arriving take most of what a pool drains. By the
-// pool's rate a lower tier seems to have its turn soon; its callers would wait
-// until their objective is nearly over, be refused then, and come back to the
-// same. So the rate of its own lane, which is what the others leave, counts
-// too.
+// Steady arrivals of higher tiers take most of a pool's drain rate. Judged by
+// that rate alone, a lower tier would be accepted, wait until its objective has
+// nearly passed, and then be refused. Therefore the drain rate of the request's
+// own lane, which is what higher tiers leave, is checked too.
 
 #ifndef GENTIANLB_SCHEDULE_REFUSE_H_
 #define GENTIANLB_SCHEDULE_REFUSE_H_
@@ -29,68 +29,71 @@
 
 namespace gentianlb::schedule {
 
-// Work that is granted in a second while there is a backlog: of a pool, or of
-// one lane, whose rate is what higher tiers leave it.
+// Measures the work granted per second while there is a backlog, for a pool or
+// for one lane. The rate of a lane is what higher tiers leave to it.
 class DrainRate {
  public:
-  struct Memory {
-    double seconds;        // The rate forgets over this time.
-    double guess_seconds;  // The first guess weighs like this much measuring.
+  struct Smoothing {
+    double time_constant_seconds;  // Decay of old measurements.
+    double initial_seconds;        // Weight of the initial rate.
   };
-  // Long against the gaps between grants, short against how long an overload
-  // or a power drop lasts.
-  static constexpr Memory kOfPool = {10, 2};
-  // What is left for a lower tier changes with each burst of a higher one.
-  static constexpr Memory kOfLane = {2, 0.2};
+  // Long compared to the gaps between grants, short compared to an overload or
+  // a power drop.
+  static constexpr Smoothing kPoolSmoothing = {10, 2};
+  // What higher tiers leave to a lane changes with each of their bursts.
+  static constexpr Smoothing kLaneSmoothing = {2, 0.2};
 
-  explicit DrainRate(Memory memory = kOfPool) : memory_(memory) {}
+  explicit DrainRate(Smoothing smoothing = kPoolSmoothing)
+      : smoothing_(smoothing) {}
 
-  // Something waits from now on, or nothing does.
+  // Starts or ends a backlog.
   void SetBacklog(bool backlog, absl::Time now);
-  // What never waited says nothing of the rate and is left out.
+  // Records granted work. Work granted without a backlog is ignored, as it says
+  // nothing about the rate.
   void Granted(double work, absl::Time now);
-  // `capacity` is the first guess.
+  // Returns the rate in work per second; `capacity` is the initial value.
   double PerSecond(double capacity, absl::Time now) const;
 
  private:
   void Advance(absl::Time now);
 
-  Memory memory_;
-  double work_ = 0;
-  double busy_ = 0;  // Seconds.
+  Smoothing smoothing_;
+  double granted_work_ = 0;
+  double backlog_seconds_ = 0;
   bool backlog_ = false;
   absl::Time backlog_since_;
-  absl::Time last_;
+  absl::Time advanced_at_;
 };
 
-// What the decision rests on, in seconds from now.
-struct Outlook {
-  double wait = 0;     // Until its turn, by the backlog.
-  double service = 0;  // On the fastest server, alone.
-  double deadline = 0;
-  auto operator<=>(const Outlook&) const = default;
+// Input of an early refusal; all times are seconds from now.
+struct AdmissionEstimate {
+  double wait_seconds = 0;     // Until the request is granted.
+  double service_seconds = 0;  // On the fastest idle server.
+  double deadline_seconds = 0;
+  auto operator<=>(const AdmissionEstimate&) const = default;
 };
 
-// Not even an empty system makes it.
-bool Unreachable(const Outlook& outlook);
+// Returns whether even an idle system would miss the deadline.
+bool DeadlineUnreachable(const AdmissionEstimate& estimate);
 
-// The backlog can't carry it.
-bool Overloaded(const Outlook& outlook);
+// Returns whether the request would miss its deadline because of the backlog.
+bool BacklogTooLong(const AdmissionEstimate& estimate);
 
-// Spreads what would otherwise return together. The same seed gives the same
-// times on each run and machine, which the library's distributions don't.
+// Adds jitter to retry times, so that refused callers don't all retry at once.
+// Unlike the standard library's distributions, the same seed gives the same
+// times on every platform.
 class ComeBack {
  public:
-  // No caller should be back sooner than after `shortest`.
-  ComeBack(std::uint64_t seed, absl::Duration shortest)
-      : random_(seed), shortest_(absl::ToDoubleSeconds(shortest)) {}
+  // No retry time is below `min_retry_after`.
+  ComeBack(std::uint64_t seed, absl::Duration min_retry_after)
+      : random_(seed), min_seconds_(absl::ToDoubleSeconds(min_retry_after)) {}
 
-  // For a backlog of `seconds`.
+  // Returns the retry time for a backlog of `seconds`.
   absl::Duration After(double seconds);
 
  private:
   std::mt19937_64 random_;
-  double shortest_;  // Seconds.
+  double min_seconds_;
 };
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/state.cc
+++ b/src/schedule/state.cc
@@ -6,15 +6,16 @@
 namespace gentianlb::schedule {
 namespace {
 
-// Refusals that say there is no room or power. None of them may hit a tier
-// while a lower one waits.
-bool ForWantOfRoom(Code code) {
+// Returns whether `code` is a refusal for lack of capacity or power. A tier
+// must not get one while a lower tier waits.
+bool IsCapacityRefusal(Code code) {
   return code == Code::kQueueFull || code == Code::kPowerShort ||
          code == Code::kShedForHigherTier;
 }
 
-// Several dispatchers may share the pool; the first guess is this one's part.
-double OwnCapacity(const State& state, PoolIndex pool) {
+// Returns this dispatcher's share of the pool's configured capacity; several
+// dispatchers may share the pool.
+double OwnPoolCapacity(const State& state, PoolIndex pool) {
   return state.fleet.pool(pool).capacity * state.fleet.OwnPart(pool, state.now);
 }
 
@@ -23,7 +24,7 @@
 void Emit(State& state, Decision decision) {
   ++state.counters.decisions;
   state.signature.Add(decision);
-  state.out->push_back(std::move(decision));
+  state.decisions->push_back(std::move(decision));
 }
 
 void AddWaiting(State& state, Waiting waiting) {
@@ -32,11 +33,11 @@
   const RequestId id = waiting.request.id;
   const WaitIndex index = state.queue.Add(std::move(waiting));
   state.waiting_by_id[id] = index;
-  state.drains[lane.pool].SetBacklog(true, state.now);
-  state.lane_drains.try_emplace(lane, DrainRate::kOfLane)
+  state.pool_drains[lane.pool].SetBacklog(true, state.now);
+  state.lane_drains.try_emplace(lane, DrainRate::kLaneSmoothing)
       .first->second.SetBacklog(true, state.now);
-  // Behind the heads it changes nothing yet.
-  if (state.queue.InHeads(index)) state.changes.lanes.push_back(lane);
+  // A request behind the heads can't be granted yet.
+  if (state.queue.IsHead(index)) state.changes.lanes.push_back(lane);
 }
 
 Waiting RemoveWaiting(State& state, WaitIndex index) {
@@ -44,7 +45,7 @@
   state.waiting_by_id.erase(waiting.request.id);
   state.limits.WaitsNoMore(waiting.workspace, waiting.request);
   if (state.queue.PoolSize(waiting.pool) == 0) {
-    state.drains[waiting.pool].SetBacklog(false, state.now);
+    state.pool_drains[waiting.pool].SetBacklog(false, state.now);
   }
   const LaneKey lane{waiting.request.tier, waiting.pool};
   if (state.queue.LaneEmpty(lane)) {
@@ -55,8 +56,8 @@
 
 void RefuseWaiting(State& state, WaitIndex index, Code code,
                    absl::Duration retry_after) {
-  // Lower tiers may have been waiting for this one.
-  state.changes.all |= state.queue.InHeads(index);
+  // A head may have blocked lower tiers.
+  state.changes.all |= state.queue.IsHead(index);
   const Waiting waiting = RemoveWaiting(state, index);
   RefuseRequest(state, waiting.request, code, retry_after);
 }
@@ -66,7 +67,7 @@
   const int rank = request.tier.rank;
   ++state.counters.refused[{rank, code}];
   const bool lower_waits = state.queue.LowestTier().rank > rank;
-  if (ForWantOfRoom(code) && lower_waits) ++state.counters.inversions;
+  if (IsCapacityRefusal(code) && lower_waits) ++state.counters.inversions;
   Emit(state, Refuse{request.id, request.host, code, retry_after});
 }
 
@@ -76,30 +77,32 @@
   const LaneKey lane{request.tier, running.origin.pool};
   state.power.Cancelling(running.server, !running.first_token);
   state.running.SetCancelled(index, cause);
-  if (cause == WasteCause::kPreempted) ++state.preempting;
+  if (cause == WasteCause::kPreempted) ++state.pending_preemptions;
   Emit(state, Cancel{request.id, request.host, Code::kCancelledRunning,
-                     ComeBackAfter(state, lane)});
+                     LaneRetryAfter(state, lane)});
 }
 
 double DrainPerSecond(const State& state, PoolIndex pool) {
-  return state.drains[pool].PerSecond(OwnCapacity(state, pool), state.now);
+  return state.pool_drains[pool].PerSecond(OwnPoolCapacity(state, pool),
+                                           state.now);
 }
 
 double LaneDrainPerSecond(const State& state, const LaneKey& lane) {
-  const double capacity = OwnCapacity(state, lane.pool);
+  const double capacity = OwnPoolCapacity(state, lane.pool);
   const auto drain = state.lane_drains.find(lane);
   return drain == state.lane_drains.end()
              ? capacity
              : drain->second.PerSecond(capacity, state.now);
 }
 
-absl::Duration ComeBackAfter(State& state, const LaneKey& lane) {
-  const double ahead =
-      state.queue.WorkAbove(lane.tier, lane.pool) + state.queue.LaneWork(lane);
-  return state.come_back.After(ahead / DrainPerSecond(state, lane.pool));
+absl::Duration LaneRetryAfter(State& state, const LaneKey& lane) {
+  const double ahead = state.queue.WorkInHigherTiers(lane.tier, lane.pool) +
+                       state.queue.LaneWork(lane);
+  return state.retry_after_jitter.After(ahead /
+                                        DrainPerSecond(state, lane.pool));
 }
 
-void RoomOn(State& state, ServerIndex server) {
+void OnCapacityFreed(State& state, ServerIndex server) {
   state.fleet.Reindex(server, state.now);
   const std::vector<PoolIndex>& pools = state.fleet.at(server).pools;
   state.changes.servers.push_back(server);
--- a/src/schedule/state.h
+++ b/src/schedule/state.h
@@ -1,6 +1,6 @@
-// All that one dispatcher knows, shared by the steps that act on it: intake,
-// grants, giving way and answers. Each module inside keeps its own rules; what
-// spans several of them is done by the functions here.
+// State of one dispatcher, shared by its steps: intake, grants, preemption and
+// responses. Each module in it keeps its own invariants; the functions below
+// apply changes that span several modules.
 
 #ifndef GENTIANLB_SCHEDULE_STATE_H_
 #define GENTIANLB_SCHEDULE_STATE_H_
@@ -27,36 +27,38 @@
 
 namespace gentianlb::schedule {
 
-// When requests of one tier came last.
-struct Activity {
-  absl::Time last = absl::InfinitePast();
-  absl::Time last_short = absl::InfinitePast();
+// Times of the last arrivals in one tier.
+struct TierActivity {
+  absl::Time last_arrival = absl::InfinitePast();
+  absl::Time last_short_arrival = absl::InfinitePast();
 };
 
-// What changed since the last round of grants and may let something through.
-// Whatever is not touched by a change is blocked as it was before.
+// Changes since the last round of grants that may allow a grant. Lanes that no
+// change touches stay blocked as before.
 struct Changes {
   bool all = false;
   std::vector<ServerIndex> servers;
-  std::vector<PoolIndex> pools;  // Their servers may have room.
-  std::vector<LaneKey> lanes;    // Something came into them.
+  std::vector<PoolIndex> pools;  // Their servers may have free capacity.
+  std::vector<LaneKey> lanes;    // A head was added to them.
 };
 
-// What a lane that waits keeps from lower tiers.
+// Capacity that a waiting lane withholds from lower tiers.
 struct LaneBlock {
-  bool pool = false;              // All servers of its pool.
-  std::vector<ServerIndex> held;  // Single servers.
+  bool whole_pool = false;           // All servers of its pool.
+  std::vector<ServerIndex> servers;  // Single servers.
 };
 
 struct State {
-  explicit State(const DispatcherOptions& chosen)
-      : options(chosen), come_back(chosen.seed, chosen.shortest_come_back) {
-    power.SetShare(chosen.initial_watts);
+  explicit State(const DispatcherOptions& dispatcher_options)
+      : options(dispatcher_options),
+        retry_after_jitter(dispatcher_options.seed,
+                           dispatcher_options.shortest_come_back) {
+    power.SetShare(dispatcher_options.initial_watts);
   }
 
   DispatcherOptions options;
   absl::Time now;
-  std::vector<Decision>* out = nullptr;  // During one event.
+  std::vector<Decision>* decisions = nullptr;  // Set while an event is handled.
 
   WaitingQueue queue;
   RunningTable running;
@@ -66,20 +68,20 @@
   WorkspaceLimits limits;
   OutputEstimator estimator;
   RetryBudget retries{RetryOptions{}};
-  ComeBack come_back;
-  std::vector<DrainRate> drains;  // By pool.
+  ComeBack retry_after_jitter;
+  std::vector<DrainRate> pool_drains;  // Indexed by pool.
   std::map<LaneKey, DrainRate> lane_drains;
 
   absl::flat_hash_map<RequestId, WaitIndex> waiting_by_id;
-  std::map<int, Activity> activity;  // By rank of the tier.
+  std::map<int, TierActivity> activity;  // By tier rank.
   std::uint64_t next_sequence = 0;
   Changes changes;
-  bool power_short = false;  // The last search for room ended for power,
-  LaneKey power_short_at;    // at this lane.
-  int preempting = 0;        // Cancelled for a higher tier, not yet ended.
-  std::map<LaneKey, LaneBlock> blocks;  // Of lanes that were tried.
-  std::uint64_t rotation = 0;           // Lanes of a tier take turns.
-  absl::Time urgent_at = absl::InfiniteFuture();
+  bool power_exhausted = false;  // Set if the last round ran out of power,
+  LaneKey power_exhausted_lane;  // in this lane.
+  int pending_preemptions = 0;   // Cancelled for a higher tier, not finished.
+  std::map<LaneKey, LaneBlock> lane_blocks;  // Of lanes that were tried.
+  std::uint64_t lane_rotation = 0;           // Rotates the lanes within a tier.
+  absl::Time next_urgent_check = absl::InfiniteFuture();
 
   Counters counters;
   Signature signature;
@@ -91,7 +93,7 @@
 void AddWaiting(State& state, Waiting waiting);
 Waiting RemoveWaiting(State& state, WaitIndex index);
 
-// Takes a waiting request out of the queue and refuses it.
+// Removes a waiting request from the queue and refuses it.
 void RefuseWaiting(State& state, WaitIndex index, Code code,
                    absl::Duration retry_after);
 
@@ -99,20 +101,23 @@
 void RefuseRequest(State& state, const Request& request, Code code,
                    absl::Duration retry_after);
 
-// Asks the entry host to stop a running request. It has begun, so the code says
-// that it may have run, whatever the cause.
+// Emits a Cancel for a running request. The request was granted, so
+// the code says that it may have run, whatever the cause.
 void CancelRunning(State& state, RunIndex index, WasteCause cause);
 
-// Work that this dispatcher's part of a pool takes in a second.
+// Returns this dispatcher's share of the pool's drain rate, in work per second.
 double DrainPerSecond(const State& state, PoolIndex pool);
-// Of it, what is left for the lane.
+// Returns the lane's drain rate: what higher tiers leave to it, in work per
+// second.
 double LaneDrainPerSecond(const State& state, const LaneKey& lane);
 
-// When a caller of this lane may come back: when its backlog has drained.
-absl::Duration ComeBackAfter(State& state, const LaneKey& lane);
+// Returns how long a refused caller of this lane should wait before a retry:
+// until the lane's backlog has drained.
+absl::Duration LaneRetryAfter(State& state, const LaneKey& lane);
 
-// Something changed on `server` that may have made room there.
-void RoomOn(State& state, ServerIndex server);
+// Reindexes `server` after a change that may have freed capacity there, and
+// marks its pools for the next round of grants.
+void OnCapacityFreed(State& state, ServerIndex server);
 
 }  // namespace gentianlb::schedule
 
--- a/src/schedule/work.h
+++ b/src/schedule/work.h
@@ -1,4 +1,4 @@
-// Work in tokens, the common measure for fairness, backlog and drain rate.
+// Work in tokens: the common unit of fairness, backlog and drain rate.
 
 #ifndef GENTIANLB_SCHEDULE_WORK_H_
 #define GENTIANLB_SCHEDULE_WORK_H_
@@ -9,24 +9,26 @@
 
 namespace gentianlb::schedule {
 
-// A token of a prompt keeps an engine about a tenth as long as one of output,
-// since prompts are computed in parallel.
+// Work of a prompt token relative to an output token. Prompt tokens are
+// computed in parallel and occupy an engine for about a tenth of the time.
 inline constexpr double kPromptTokenWork = 0.1;
 
-// A call of a plain service has no tokens and counts as one.
+// Returns the work of a request. A call of a plain service has no tokens and
+// counts as 1.
 inline double WorkOf(int prompt_tokens, double output_tokens) {
   return std::max(1.0, kPromptTokenWork * prompt_tokens + output_tokens);
 }
 
-// Work that a server can do in a second with a full window, as configured; a
-// first guess for the drain rate. A full batch runs at about half the pace of
-// a stream alone.
+// Returns the work per second that a server does with a full window, according
+// to its configuration: the initial value of the drain rate. A stream in a full
+// batch runs at about half the speed of a single stream.
 inline double CapacityOf(const ServerSpec& spec) {
-  constexpr double kFullBatchPace = 0.5;
-  constexpr double kPlainCallsPerStream = 20;
-  const double stream = spec.decode_tokens_per_second > 0
-                            ? spec.decode_tokens_per_second * kFullBatchPace
-                            : kPlainCallsPerStream;
+  constexpr double kFullBatchSpeedFraction = 0.5;
+  constexpr double kPlainCallsPerStreamSecond = 20;
+  const double stream =
+      spec.decode_tokens_per_second > 0
+          ? spec.decode_tokens_per_second * kFullBatchSpeedFraction
+          : kPlainCallsPerStreamSecond;
   return stream * std::max(1, spec.max_streams);
 }
 
