--- a/src/schedule/dispatcher_property_test.cc
+++ b/src/schedule/dispatcher_property_test.cc
@@ -1,5 +1,5 @@
-// Over many seeds: tiers in order, watts within the share, and one end for each
-// request, whatever comes in whatever order.
+// Property test over random scenarios: tiers are served in order, power stays
+// within the share, and each request has exactly one outcome.
 
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -16,31 +16,32 @@
   return static_cast<int>((*random)() % static_cast<std::uint64_t>(below));
 }
 
-// One random happening; loads differ by seed from light to several times full.
-void Happen(FakeSite* site, std::mt19937_64* random) {
+// Applies one random event. Depending on the seed, the load ranges from light
+// to several times the capacity.
+void ApplyRandomEvent(FakeSite* site, std::mt19937_64* random) {
   const ServerId server("server-" + std::to_string(Pick(random, 4)));
   switch (Pick(random, 40)) {
     case 0:
-      site->slowness[server] = Pick(random, 3) * 0.5;
+      site->speed_factors[server] = Pick(random, 3) * 0.5;
       return;
     case 1:
-      site->failing[server] =
+      site->failures[server] =
           Pick(random, 2) == 0 ? EndKind::kNotSent : EndKind::kBroken;
       return;
     case 2:
-      site->failing.clear();
-      site->slowness.clear();
+      site->failures.clear();
+      site->speed_factors.clear();
       return;
     case 3:
       site->SetShare(500 + Pick(random, 2500));
       return;
     case 4:
-      site->Tell(ServerHealthChanged{
+      site->Deliver(ServerHealthChanged{
           server, static_cast<ServerHealth>(Pick(random, 4))});
       return;
     case 5:
       if (site->requests.empty()) return;
-      site->Tell(CallerGone{site->requests.rbegin()->first});
+      site->Deliver(CallerGone{site->requests.rbegin()->first});
       return;
     default: {
       const int tier = Pick(random, 3);
@@ -51,27 +52,27 @@
   }
 }
 
-// What a dispatcher knows of its servers' speeds beforehand.
+// How the dispatcher gets the servers' initial speeds.
 enum class Speeds { kConfigured, kGuessed };
 
-std::uint64_t Play(std::uint64_t seed, Speeds speeds, FakeSite* site) {
+std::uint64_t RunScenario(std::uint64_t seed, Speeds speeds, FakeSite* site) {
   std::mt19937_64 random(seed);
   site->AddServers(4);
   if (speeds == Speeds::kGuessed) {
     for (ServerSpec& spec : site->specs) spec.speeds_guessed = true;
-    site->Tell(ServersConfigured{site->specs});
+    site->Deliver(ServersConfigured{site->specs});
   }
   site->SetShare(2000);
-  const int pause = 1 + Pick(&random, 20);
+  const int max_steps = 1 + Pick(&random, 20);
   for (int i = 0; i < 400; ++i) {
-    Happen(site, &random);
-    site->Run(FakeSite::kStep * Pick(&random, pause));
+    ApplyRandomEvent(site, &random);
+    site->Run(FakeSite::kStep * Pick(&random, max_steps));
   }
-  // All well again, so that what still runs can end.
-  site->slowness.clear();
-  site->failing.clear();
+  // All servers recover, so that running requests can finish.
+  site->speed_factors.clear();
+  site->failures.clear();
   for (const ServerSpec& spec : site->specs) {
-    site->Tell(ServerHealthChanged{spec.id, ServerHealth::kAlive});
+    site->Deliver(ServerHealthChanged{spec.id, ServerHealth::kAlive});
   }
   site->Run(absl::Minutes(2));
   return site->dispatcher.signature();
@@ -80,12 +81,12 @@
 void CheckSeeds(Speeds speeds) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     FakeSite site;
-    Play(seed, speeds, &site);
+    RunScenario(seed, speeds, &site);
     BOOST_TEST_CONTEXT("seed " << seed) {
       BOOST_TEST(site.dispatcher.counters().inversions == 0);
-      BOOST_TEST(!site.overdrawn);
-      BOOST_TEST(!site.spinning);
-      BOOST_TEST(site.ended_twice == 0);
+      BOOST_TEST(!site.power_exceeded);
+      BOOST_TEST(!site.busy_wakeup);
+      BOOST_TEST(site.duplicate_outcomes == 0);
       BOOST_TEST(site.outcomes.size() == site.requests.size());
       BOOST_TEST(site.dispatcher.waiting() == 0);
       BOOST_TEST(site.dispatcher.running() == 0);
@@ -93,22 +94,23 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(OrderPowerAndOneEndForEachRequest) {
+BOOST_AUTO_TEST_CASE(InvariantsHoldWithConfiguredSpeeds) {
   CheckSeeds(Speeds::kConfigured);
 }
 
-BOOST_AUTO_TEST_CASE(OrderPowerAndOneEndWithGuessedSpeeds) {
+BOOST_AUTO_TEST_CASE(InvariantsHoldWithEstimatedSpeeds) {
   CheckSeeds(Speeds::kGuessed);
 }
 
-// Two hosts or two builds that disagree on the same events could not be
-// compared, and a replay would prove nothing.
+// Guards against nondeterminism: replays and comparisons of hosts or builds
+// rely on the same events giving the same decisions.
 BOOST_AUTO_TEST_CASE(SameEventsSameDecisions) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     FakeSite first;
     FakeSite second;
-    const std::uint64_t signature = Play(seed, Speeds::kConfigured, &first);
-    BOOST_TEST(signature == Play(seed, Speeds::kConfigured, &second));
+    const std::uint64_t signature =
+        RunScenario(seed, Speeds::kConfigured, &first);
+    BOOST_TEST(signature == RunScenario(seed, Speeds::kConfigured, &second));
     BOOST_TEST(signature != 0);
   }
 }
--- a/src/schedule/fake_site_test.h
+++ b/src/schedule/fake_site_test.h
@@ -1,6 +1,6 @@
-// A hand-written fake of one zone's servers, for the tests of the dispatcher:
-// prompts one after the other, streams side by side, time in steps. It carries
-// the decisions out and tells what callers received.
+// Fake of one zone's servers for the dispatcher's tests. A server computes
+// prompts one at a time and streams in parallel; time advances in steps. It
+// applies the dispatcher's decisions and records each caller's outcome.
 
 #ifndef GENTIANLB_SCHEDULE_FAKE_SITE_TEST_H_
 #define GENTIANLB_SCHEDULE_FAKE_SITE_TEST_H_
@@ -17,11 +17,11 @@
 
 namespace gentianlb::schedule {
 
-// How one request ended for its caller.
+// Outcome of one request as its caller sees it.
 struct CallerOutcome {
   enum class Kind { kComplete, kRefused, kCancelled, kBroken };
   Kind kind = Kind::kComplete;
-  absl::Time when;
+  absl::Time finished_at;
   Code code = Code::kInternal;
   absl::Duration retry_after;
 };
@@ -33,7 +33,7 @@
   explicit FakeSite(const DispatcherOptions& options = {})
       : dispatcher(options) {}
 
-  static ServerSpec Spec(int number) {
+  static ServerSpec MakeServer(int number) {
     ServerSpec spec;
     spec.id = ServerId("server-" + std::to_string(number));
     spec.models = {ModelId("model")};
@@ -49,13 +49,14 @@
   }
 
   void AddServers(int count) {
-    for (int i = 0; i < count; ++i) specs.push_back(Spec(i));
-    Tell(ServersConfigured{specs});
+    for (int i = 0; i < count; ++i) specs.push_back(MakeServer(i));
+    Deliver(ServersConfigured{specs});
   }
 
-  // A request of `prompt` tokens that will put out `output`.
-  Request Make(const std::string& workspace, int tier, absl::Duration deadline,
-               int prompt, int output) {
+  // Creates a request with `prompt` prompt tokens whose answer has `output`
+  // tokens.
+  Request MakeRequest(const std::string& workspace, int tier,
+                      absl::Duration deadline, int prompt, int output) {
     Request request;
     request.id = RequestId("r" + std::to_string(next_id_++));
     request.host = EntryHostId("host");
@@ -66,33 +67,34 @@
     request.deadline = now + deadline;
     request.prompt_tokens = prompt;
     request.max_output_tokens = output * 2;
-    outputs_[request.id] = output;
+    output_tokens_[request.id] = output;
     requests[request.id] = request;
     return request;
   }
 
   RequestId Send(const std::string& workspace, int tier,
                  absl::Duration deadline, int prompt, int output) {
-    const Request request = Make(workspace, tier, deadline, prompt, output);
-    Tell(RequestArrived{request});
+    const Request request =
+        MakeRequest(workspace, tier, deadline, prompt, output);
+    Deliver(RequestArrived{request});
     return request.id;
   }
 
-  void Tell(const Event& event) {
+  void Deliver(const Event& event) {
     std::vector<Decision> decisions;
     dispatcher.Handle(event, now, &decisions);
     const bool granted = std::any_of(
         decisions.begin(), decisions.end(),
         [](const auto& d) { return std::holds_alternative<Grant>(d); });
-    overdrawn |= granted && dispatcher.worst_watts() > share;
-    // A timer that is due at once, for ever, would spin its owner.
-    spinning |= dispatcher.NextWakeup() <= now;
-    for (const Decision& decision : decisions) Carry(decision);
+    power_exceeded |= granted && dispatcher.worst_watts() > share;
+    // A wakeup that is always due at once would make the owner's loop spin.
+    busy_wakeup |= dispatcher.NextWakeup() <= now;
+    for (const Decision& decision : decisions) Apply(decision);
   }
 
   void SetShare(double watts) {
     share = watts;
-    Tell(PowerShareChanged{watts});
+    Deliver(PowerShareChanged{watts});
   }
 
   void Run(absl::Duration span) {
@@ -107,14 +109,15 @@
         }));
   }
 
-  // Requests of one workspace that were finished in time.
-  int InTime(const std::string& workspace) const {
+  // Returns the number of a workspace's requests that completed before their
+  // deadline.
+  int CountInTime(const std::string& workspace) const {
     return static_cast<int>(
         std::count_if(outcomes.begin(), outcomes.end(), [&](const auto& entry) {
           const Request& request = requests.at(entry.first);
           return entry.second.kind == CallerOutcome::Kind::kComplete &&
                  request.workspace == WorkspaceId(workspace) &&
-                 entry.second.when <= request.deadline;
+                 entry.second.finished_at <= request.deadline;
         }));
   }
 
@@ -132,130 +135,131 @@
   std::map<RequestId, Request> requests;
   std::map<RequestId, CallerOutcome> outcomes;
   std::vector<std::pair<RequestId, ServerId>> grants;
-  std::map<ServerId, double> slowness;  // 0: it hangs.
-  std::map<ServerId, EndKind> failing;  // How grants there end at once.
+  std::map<ServerId, double> speed_factors;  // 0: the server hangs.
+  std::map<ServerId, EndKind> failures;  // Immediate result of grants there.
   double share = std::numeric_limits<double>::infinity();
-  bool overdrawn = false;
-  bool spinning = false;
-  int ended_twice = 0;
+  bool power_exceeded = false;
+  bool busy_wakeup = false;
+  int duplicate_outcomes = 0;
 
  private:
   struct Stream {
     RequestId id;
     ServerId server;
-    double prompt = 0;  // Left to compute.
+    double prompt = 0;  // Prompt tokens left to compute.
     int cached = 0;
     double tokens = 0;
     int output = 0;
-    bool told_first = false;
-    absl::Time told;
-    std::optional<EndKind> ending;
+    bool first_token_reported = false;
+    absl::Time reported_at;
+    std::optional<EndKind> result;
   };
 
-  void Finish(const RequestId& id, CallerOutcome outcome) {
-    outcome.when = now;
-    if (!outcomes.emplace(id, outcome).second) ++ended_twice;
+  void RecordOutcome(const RequestId& id, CallerOutcome outcome) {
+    outcome.finished_at = now;
+    if (!outcomes.emplace(id, outcome).second) ++duplicate_outcomes;
   }
 
-  void Carry(const Decision& decision) {
+  void Apply(const Decision& decision) {
     if (const auto* grant = std::get_if<Grant>(&decision)) {
       grants.emplace_back(grant->id, grant->server);
       Stream stream{.id = grant->id, .server = grant->server};
       stream.cached = CachedTokens(requests.at(grant->id), grant->server);
       stream.prompt = requests.at(grant->id).prompt_tokens - stream.cached;
-      stream.output = outputs_.at(grant->id);
-      const auto fails = failing.find(grant->server);
-      if (fails != failing.end()) stream.ending = fails->second;
+      stream.output = output_tokens_.at(grant->id);
+      const auto fails = failures.find(grant->server);
+      if (fails != failures.end()) stream.result = fails->second;
       streams_.push_back(stream);
     } else if (const auto* refuse = std::get_if<Refuse>(&decision)) {
-      Finish(refuse->id, {.kind = CallerOutcome::Kind::kRefused,
-                          .code = refuse->code,
-                          .retry_after = refuse->retry_after});
+      RecordOutcome(refuse->id, {.kind = CallerOutcome::Kind::kRefused,
+                                 .code = refuse->code,
+                                 .retry_after = refuse->retry_after});
     } else if (const auto* cancel = std::get_if<Cancel>(&decision)) {
-      for (Stream& stream : streams_) Stop(*cancel, &stream);
-      for (Stream& stream : ending_) Stop(*cancel, &stream);
+      for (Stream& stream : streams_) CancelStream(*cancel, &stream);
+      for (Stream& stream : finished_) CancelStream(*cancel, &stream);
     }
   }
 
-  void Stop(const Cancel& cancel, Stream* stream) {
+  void CancelStream(const Cancel& cancel, Stream* stream) {
     if (stream->id != cancel.id) return;
-    // It may have ended already: the two crossed on the way. What was not sent
-    // is not tried again after a cancel, so that is its end.
-    const EndKind ending = stream->ending.value_or(EndKind::kNotSent);
-    if (ending != EndKind::kNotSent) return;
-    stream->ending = EndKind::kCancelled;
-    Finish(cancel.id,
-           {.kind = CallerOutcome::Kind::kCancelled, .code = cancel.code});
+    // The stream may have finished before the cancel arrived. A request that
+    // was not sent isn't retried after a cancel, so the cancel is its outcome.
+    const EndKind result = stream->result.value_or(EndKind::kNotSent);
+    if (result != EndKind::kNotSent) return;
+    stream->result = EndKind::kCancelled;
+    RecordOutcome(cancel.id, {.kind = CallerOutcome::Kind::kCancelled,
+                              .code = cancel.code});
   }
 
-  // Work of one stream in one step; prompts of a server go one by one.
-  void Work(Stream* stream, std::map<ServerId, bool>* prefilling) {
-    const auto slow = slowness.find(stream->server);
-    const double pace = slow == slowness.end() ? 1 : slow->second;
+  // Advances a stream by one step. A server computes one prompt at a time.
+  void AdvanceStream(Stream* stream, std::map<ServerId, bool>* prefilling) {
+    const auto factor = speed_factors.find(stream->server);
+    const double speed = factor == speed_factors.end() ? 1 : factor->second;
     const double seconds = absl::ToDoubleSeconds(kStep);
     if (stream->prompt > 0) {
       if (std::exchange((*prefilling)[stream->server], true)) return;
-      stream->prompt -= 5000 * pace * seconds;
+      stream->prompt -= 5000 * speed * seconds;
     } else {
       const double batch = 1 + 0.03 * (RunningOn(stream->server) - 1);
-      stream->tokens += 50 * pace * seconds / batch;
+      stream->tokens += 50 * speed * seconds / batch;
     }
   }
 
-  void Report(Stream* stream) {
+  void ReportProgress(Stream* stream) {
     const int tokens = static_cast<int>(stream->tokens);
     if (tokens < 1) return;
     if (tokens >= stream->output) {
-      stream->ending = EndKind::kComplete;
-      Finish(stream->id, {});
-    } else if (!stream->told_first ||
-               now - stream->told >= absl::Milliseconds(200)) {
-      stream->told_first = true;
-      stream->told = now;
-      Tell(TokensStreamed{stream->id, tokens});
+      stream->result = EndKind::kComplete;
+      RecordOutcome(stream->id, {});
+    } else if (!stream->first_token_reported ||
+               now - stream->reported_at >= absl::Milliseconds(200)) {
+      stream->first_token_reported = true;
+      stream->reported_at = now;
+      Deliver(TokensStreamed{stream->id, tokens});
     }
   }
 
   void Step() {
     now += kStep;
     std::map<ServerId, bool> prefilling;
-    // By index: what is told may bring new grants to the end of the list.
+    // By index, as a delivered event may append new grants to the list.
     for (std::size_t i = 0; i < streams_.size(); ++i) {
-      if (streams_[i].ending) continue;
+      if (streams_[i].result) continue;
       Stream stream = streams_[i];
-      Work(&stream, &prefilling);
-      Report(&stream);
-      const auto cancelled = streams_[i].ending;
+      AdvanceStream(&stream, &prefilling);
+      ReportProgress(&stream);
+      const auto cancelled = streams_[i].result;
       streams_[i] = stream;
-      if (cancelled) streams_[i].ending = cancelled;
+      if (cancelled) streams_[i].result = cancelled;
     }
     EndStreams();
-    // What was cancelled for a smaller share has ended within this step.
-    overdrawn |= !streams_.empty() && dispatcher.worst_watts() > share;
-    if (dispatcher.NextWakeup() <= now) Tell(TimePassed{});
+    // Requests cancelled for a smaller share finish within this step.
+    power_exceeded |= !streams_.empty() && dispatcher.worst_watts() > share;
+    if (dispatcher.NextWakeup() <= now) Deliver(TimePassed{});
   }
 
   void EndStreams() {
-    ending_.clear();
+    finished_.clear();
     for (const Stream& stream : streams_) {
-      if (stream.ending) ending_.push_back(stream);
+      if (stream.result) finished_.push_back(stream);
     }
-    std::erase_if(streams_, [](const Stream& s) { return s.ending; });
-    while (!ending_.empty()) {
-      // Out first: once told of, it may run again and is another stream.
-      const Stream stream = ending_.front();
-      ending_.erase(ending_.begin());
-      if (stream.ending == EndKind::kBroken) {
-        Finish(stream.id, {.kind = CallerOutcome::Kind::kBroken});
+    std::erase_if(streams_, [](const Stream& s) { return s.result; });
+    while (!finished_.empty()) {
+      // Removed first: after the event the request may be granted again, as
+      // another stream.
+      const Stream stream = finished_.front();
+      finished_.erase(finished_.begin());
+      if (stream.result == EndKind::kBroken) {
+        RecordOutcome(stream.id, {.kind = CallerOutcome::Kind::kBroken});
       }
-      Tell(RequestEnded{.id = stream.id,
-                        .kind = *stream.ending,
-                        .output_tokens = static_cast<int>(stream.tokens),
-                        .cached_prompt_tokens = stream.cached});
+      Deliver(RequestEnded{.id = stream.id,
+                           .kind = *stream.result,
+                           .output_tokens = static_cast<int>(stream.tokens),
+                           .cached_prompt_tokens = stream.cached});
     }
   }
 
-  // Engines keep all they have seen.
+  // Returns the cached prompt tokens; the fake engines never evict a block.
   int CachedTokens(const Request& request, const ServerId& server) {
     int tokens = 0;
     for (const PrefixHash hash : request.prefix) {
@@ -265,9 +269,9 @@
   }
 
   std::map<ServerId, std::set<PrefixHash>> caches_;
-  std::map<RequestId, int> outputs_;
+  std::map<RequestId, int> output_tokens_;
   std::vector<Stream> streams_;
-  std::vector<Stream> ending_;  // Still to be told of in this step.
+  std::vector<Stream> finished_;  // Not yet reported in this step.
   int next_id_ = 0;
 };
 
