--- a/src/entry/calls.cc
+++ b/src/entry/calls.cc
@@ -195,11 +195,11 @@
   if (!wanted) {
     // The request has ended, or has another dispatcher by now. The one that
     // granted must not count a running request that nobody sends.
-    board_->TellHost(
-        from,
-        {domain,
-         schedule::RequestEnded{grant.id, schedule::EndKind::kCancelled}},
-        loop_->now());
+    board_->TellHost(from,
+                     {domain,
+                      schedule::RequestFinished{
+                          grant.id, schedule::RequestOutcome::kCancelled}},
+                     loop_->now());
     return;
   }
   call->phase = Call::Phase::kGranted;
@@ -255,7 +255,7 @@
   bool stuck = call->phase != Call::Phase::kRunning && call->transfer == 0;
   if (!stuck) return;
   if (call->phase != Call::Phase::kReading) {
-    Tell(*call, schedule::CallerGone{id});
+    Tell(*call, schedule::CallerDisconnected{id});
   }
   GiveUp(call, {{Code::kDeadlinePassed, "nobody has answered for it"},
                 kComeBackSoon});
@@ -267,7 +267,7 @@
   CallPtr call = Find(id);
   if (call == nullptr || !call->request.key.empty()) return;
   if (call->phase == Call::Phase::kWaiting) {
-    Tell(*call, schedule::CallerGone{id});
+    Tell(*call, schedule::CallerDisconnected{id});
     GiveUp(call, {{Code::kCallerGone, ""}, absl::ZeroDuration()});
     return;
   }
--- a/src/entry/calls_claim.cc
+++ b/src/entry/calls_claim.cc
@@ -100,10 +100,10 @@
   }
   if (call->phase == Call::Phase::kReading) return;
   if (call->phase == Call::Phase::kWaiting) {
-    Tell(*call, schedule::CallerGone{call->id});
+    Tell(*call, schedule::CallerDisconnected{call->id});
   } else {
-    Tell(*call,
-         schedule::RequestEnded{call->id, schedule::EndKind::kCancelled});
+    Tell(*call, schedule::RequestFinished{
+                    call->id, schedule::RequestOutcome::kCancelled});
   }
   call->refusal.reset();
   call->phase = Call::Phase::kReading;
--- a/src/entry/calls_dispatch.cc
+++ b/src/entry/calls_dispatch.cc
@@ -41,8 +41,8 @@
         }
         // It was not sent, and under this claim it won't be.
         claims_->Ended(found->claim, /*sent=*/false);
-        Tell(*found,
-             schedule::RequestEnded{found->id, schedule::EndKind::kCancelled});
+        Tell(*found, schedule::RequestFinished{
+                         found->id, schedule::RequestOutcome::kCancelled});
         GivenUp why = found->stop.has_value()
                           ? *found->stop
                           : GivenUp{refusal->error, refusal->retry_after};
@@ -116,8 +116,9 @@
     return;
   }
   if (call->stop.has_value()) {
-    Tell(*call, schedule::RequestEnded{call->id, schedule::EndKind::kCancelled,
-                                       end.next_offset, 0});
+    Tell(*call, schedule::RequestFinished{call->id,
+                                          schedule::RequestOutcome::kCancelled,
+                                          end.next_offset, 0});
     if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
     GiveUp(call, *call->stop);
     return;
@@ -139,8 +140,9 @@
     return;
   }
   if (!reading) {
-    Tell(*call, schedule::RequestEnded{call->id, schedule::EndKind::kBroken,
-                                       end.next_offset, 0});
+    Tell(*call,
+         schedule::RequestFinished{call->id, schedule::RequestOutcome::kFailed,
+                                   end.next_offset, 0});
     if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
   }
   GiveUp(call, {end.error, absl::ZeroDuration()});
@@ -152,8 +154,8 @@
   call->relay.reset();
   call->server = ServerId();
   if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/false);
-  Tell(*call,
-       schedule::RequestEnded{call->id, schedule::EndKind::kNotSent, 0, 0});
+  Tell(*call, schedule::RequestFinished{
+                  call->id, schedule::RequestOutcome::kNotSent, 0, 0});
 }
 
 void Calls::OnComplete(const CallPtr& call, const RelayEnd& end) {
@@ -167,9 +169,9 @@
                     "server=" + call->server.str() +
                         " tokens=" + std::to_string(end.next_offset));
   if (call->phase == Call::Phase::kRunning) {
-    Tell(*call,
-         schedule::RequestEnded{call->id, schedule::EndKind::kComplete,
-                                end.next_offset, end.usage.cached_tokens});
+    Tell(*call, schedule::RequestFinished{
+                    call->id, schedule::RequestOutcome::kComplete,
+                    end.next_offset, end.usage.cached_tokens});
     if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
   } else if (call->claim != 0) {
     claims_->Abandon(call->claim);
@@ -182,8 +184,9 @@
 void Calls::Resume(const CallPtr& call, const Error& error) {
   if (call->resumes >= kMaxResumes) {
     if (call->phase == Call::Phase::kRunning) {
-      Tell(*call, schedule::RequestEnded{call->id, schedule::EndKind::kBroken,
-                                         call->tokens, 0});
+      Tell(*call,
+           schedule::RequestFinished{
+               call->id, schedule::RequestOutcome::kFailed, call->tokens, 0});
       if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
     }
     GiveUp(call, {error, absl::ZeroDuration()});
@@ -253,8 +256,8 @@
       GiveUp(call, std::move(why));
       return;
     case Call::Phase::kGranted:
-      Tell(*call,
-           schedule::RequestEnded{call->id, schedule::EndKind::kCancelled});
+      Tell(*call, schedule::RequestFinished{
+                      call->id, schedule::RequestOutcome::kCancelled});
       GiveUp(call, std::move(why));
       return;
     case Call::Phase::kSending:
--- a/src/entry/dispatch_board.cc
+++ b/src/entry/dispatch_board.cc
@@ -141,12 +141,14 @@
     Tracked& tracked = local.tracked[running->request.id];
     tracked.host = running->request.host;
     tracked.server = running->server;
-  } else if (const auto* ended = std::get_if<schedule::RequestEnded>(&event)) {
+  } else if (const auto* ended =
+                 std::get_if<schedule::RequestFinished>(&event)) {
     // What was not sent goes back to the queue under the same name.
-    if (ended->kind != schedule::EndKind::kNotSent) {
+    if (ended->kind != schedule::RequestOutcome::kNotSent) {
       local.tracked.erase(ended->id);
     }
-  } else if (const auto* gone = std::get_if<schedule::CallerGone>(&event)) {
+  } else if (const auto* gone =
+                 std::get_if<schedule::CallerDisconnected>(&event)) {
     auto found = local.tracked.find(gone->id);
     if (found != local.tracked.end() && found->second.server.empty()) {
       local.tracked.erase(found);
@@ -183,7 +185,7 @@
     // The order of a hash table differs from run to run; decisions must not.
     std::sort(waiting.begin(), waiting.end());
     for (RequestId& id : waiting) {
-      Take(domain, schedule::CallerGone{std::move(id)}, now);
+      Take(domain, schedule::CallerDisconnected{std::move(id)}, now);
     }
   }
 }
@@ -211,10 +213,10 @@
   if (!gone && !overdue) return;
   std::sort(orphans.begin(), orphans.end());
   for (RequestId& id : orphans) {
-    Take(
-        domain,
-        schedule::RequestEnded{std::move(id), schedule::EndKind::kBroken, 0, 0},
-        now);
+    Take(domain,
+         schedule::RequestFinished{std::move(id),
+                                   schedule::RequestOutcome::kFailed, 0, 0},
+         now);
   }
 }
 
--- a/src/entry/wire.cc
+++ b/src/entry/wire.cc
@@ -8,13 +8,13 @@
 namespace gentianlb::entry {
 namespace {
 
-using schedule::CallerGone;
+using schedule::CallerDisconnected;
 using schedule::Cancel;
-using schedule::EndKind;
 using schedule::Grant;
 using schedule::Refuse;
 using schedule::RequestArrived;
-using schedule::RequestEnded;
+using schedule::RequestFinished;
+using schedule::RequestOutcome;
 using schedule::RequestRunning;
 using schedule::ServerHealth;
 using schedule::TokensStreamed;
@@ -141,7 +141,7 @@
   return json;
 }
 
-Json::Value EventToJson(const CallerGone& event) {
+Json::Value EventToJson(const CallerDisconnected& event) {
   Json::Value json;
   json["event"] = "gone";
   json["id"] = event.id.str();
@@ -165,7 +165,7 @@
   return json;
 }
 
-Json::Value EventToJson(const RequestEnded& event) {
+Json::Value EventToJson(const RequestFinished& event) {
   Json::Value json;
   json["event"] = "ended";
   json["id"] = event.id.str();
@@ -190,7 +190,7 @@
   }
   BOOST_LEAF_AUTO(id, ReadId<RequestId>(json, "id"));
   if (kind == "gone") {
-    return DispatchEvent{std::move(domain), CallerGone{std::move(id)}};
+    return DispatchEvent{std::move(domain), CallerDisconnected{std::move(id)}};
   }
   BOOST_LEAF_AUTO(tokens, SmallNumber(json, "tokens"));
   if (kind == "streamed") {
@@ -198,10 +198,11 @@
                          TokensStreamed{std::move(id), tokens}};
   }
   if (kind != "ended") return Malformed("event");
-  RequestEnded event;
+  RequestFinished event;
   event.id = std::move(id);
   event.output_tokens = tokens;
-  BOOST_LEAF_ASSIGN(event.kind, Enumerator(json, "kind", EndKind::kCancelled));
+  BOOST_LEAF_ASSIGN(event.kind,
+                    Enumerator(json, "kind", RequestOutcome::kCancelled));
   BOOST_LEAF_ASSIGN(event.cached_prompt_tokens, SmallNumber(json, "cached"));
   return DispatchEvent{std::move(domain), std::move(event)};
 }
--- a/src/entry/wire.h
+++ b/src/entry/wire.h
@@ -29,9 +29,9 @@
 // An event of the sender's for the dispatcher of `domain`.
 struct DispatchEvent {
   Domain domain;
-  std::variant<schedule::RequestArrived, schedule::CallerGone,
+  std::variant<schedule::RequestArrived, schedule::CallerDisconnected,
                schedule::RequestRunning, schedule::TokensStreamed,
-               schedule::RequestEnded>
+               schedule::RequestFinished>
       event;
 };
 
--- a/src/entry/wire_test.cc
+++ b/src/entry/wire_test.cc
@@ -26,13 +26,13 @@
   RequestId id("h1-1-7");
   EntryHostId host("h1");
   return {DispatchEvent{domain, schedule::RequestArrived{SomeRequest()}},
-          DispatchEvent{domain, schedule::CallerGone{id}},
+          DispatchEvent{domain, schedule::CallerDisconnected{id}},
           DispatchEvent{domain, schedule::RequestRunning{SomeRequest(),
                                                          ServerId("s"), 5}},
           DispatchEvent{domain, schedule::TokensStreamed{id, 9}},
-          DispatchEvent{
-              domain,
-              schedule::RequestEnded{id, schedule::EndKind::kNotSent, 1, 2}},
+          DispatchEvent{domain,
+                        schedule::RequestFinished{
+                            id, schedule::RequestOutcome::kNotSent, 1, 2}},
           DispatchDecision{domain, schedule::Grant{id, host, ServerId("s")}},
           DispatchDecision{domain, schedule::Refuse{id, host, Code::kQueueFull,
                                                     absl::Seconds(3)}},
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -11,7 +11,7 @@
 namespace gentianlb::gateway {
 namespace {
 
-using schedule::EndKind;
+using schedule::RequestOutcome;
 
 // The part of the objective by which the first event is asked of a server; the
 // rest is for the way back and for what predictions miss.
@@ -140,7 +140,7 @@
   Enqueue(exchange, ServerId());
   // Last, since a caller that has left already is told of at once.
   answer->OnGone([this, id] {
-    if (Exchange* left = Find(id)) CallerGone(*left);
+    if (Exchange* left = Find(id)) CallerDisconnected(*left);
   });
 }
 
@@ -283,8 +283,9 @@
   if (server == nullptr || server->draining) {
     // It left between the decision and now, or the dispatcher, on another host,
     // has not heard of it. A server that is about to stop would cut the answer.
-    return Tell(exchange->service->id,
-                schedule::RequestEnded{grant.id, EndKind::kNotSent, 0, 0});
+    return Tell(
+        exchange->service->id,
+        schedule::RequestFinished{grant.id, RequestOutcome::kNotSent, 0, 0});
   }
   Send(*exchange, *server);
 }
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -126,7 +126,7 @@
   bool Resend(Exchange& exchange, std::string_view why);
   // The server has no more to do with the sending that was under way.
   void EndTransfer(Exchange& exchange);
-  void EndAttempt(Exchange& exchange, schedule::EndKind kind);
+  void EndAttempt(Exchange& exchange, schedule::RequestOutcome kind);
 
   // How a request may end.
   void Answer(Exchange& exchange);
@@ -134,7 +134,7 @@
               absl::Duration retry_after);
   void GiveUp(Exchange& exchange, const Error& error);
   void DeadlinePassed(Exchange& exchange);
-  void CallerGone(Exchange& exchange);
+  void CallerDisconnected(Exchange& exchange);
   void Remove(ExchangeId id);
   // Stops what a server does for it and takes it out of the queue.
   void Withdraw(Exchange& exchange);
--- a/src/gateway/forwarder_ending.cc
+++ b/src/gateway/forwarder_ending.cc
@@ -12,7 +12,7 @@
 namespace gentianlb::gateway {
 namespace {
 
-using schedule::EndKind;
+using schedule::RequestOutcome;
 
 // The status of a refusal. One that says the request was not run, and may be
 // sent again, is 503 or 429; that it may have run is 502 or 504.
@@ -131,7 +131,7 @@
   Refuse(exchange, {Code::kDeadlinePassed, "while it waited"}, kComeBackSoon);
 }
 
-void Forwarder::CallerGone(Exchange& exchange) {
+void Forwarder::CallerDisconnected(Exchange& exchange) {
   LOG(INFO) << "event=caller-gone request=" << exchange.request->id
             << " sendings=" << exchange.sendings
             << " events=" << exchange.events.events()
@@ -147,14 +147,14 @@
   if (exchange.attempt.transfer != 0) {
     servers_.cancel(exchange.attempt.transfer);
     EndTransfer(exchange);
-    EndAttempt(exchange, EndKind::kCancelled);
+    EndAttempt(exchange, RequestOutcome::kCancelled);
     return;
   }
   const RequestId dispatch_id = exchange.attempt.dispatch_id;
   if (dispatch_id.empty()) return;
   exchange.attempt.dispatch_id = RequestId();
   by_dispatch_.erase(dispatch_id);
-  Tell(exchange.service->id, schedule::CallerGone{dispatch_id});
+  Tell(exchange.service->id, schedule::CallerDisconnected{dispatch_id});
 }
 
 void Forwarder::Remove(ExchangeId id) {
--- a/src/gateway/forwarder_sending.cc
+++ b/src/gateway/forwarder_sending.cc
@@ -13,7 +13,7 @@
 namespace gentianlb::gateway {
 namespace {
 
-using schedule::EndKind;
+using schedule::RequestOutcome;
 
 // A server that had no room is one of many; a third that has none either says
 // that they are all full, and each try costs the servers something.
@@ -186,9 +186,9 @@
                  << " server=" << attempt.server->id << " cause=\"" << detail
                  << "\"";
     --exchange.sendings;
-    return Tell(
-        exchange.service->id,
-        schedule::RequestEnded{attempt.dispatch_id, EndKind::kNotSent, 0, 0});
+    return Tell(exchange.service->id,
+                schedule::RequestFinished{attempt.dispatch_id,
+                                          RequestOutcome::kNotSent, 0, 0});
   }
   if (attempt.head_seen && attempt.head.not_run) return Shed(exchange);
   if (end != http::TransferEnd::kComplete) return Failed(exchange, detail);
@@ -199,7 +199,7 @@
   Complete(exchange);
 }
 
-void Forwarder::EndAttempt(Exchange& exchange, EndKind kind) {
+void Forwarder::EndAttempt(Exchange& exchange, RequestOutcome kind) {
   const RequestId dispatch_id = exchange.attempt.dispatch_id;
   if (dispatch_id.empty()) return;
   exchange.attempt.dispatch_id = RequestId();
@@ -210,13 +210,14 @@
         exchange.events.events() * exchange.service->engine->tokens_per_event;
   }
   Tell(exchange.service->id,
-       schedule::RequestEnded{dispatch_id, kind, tokens, 0});
+       schedule::RequestFinished{dispatch_id, kind, tokens, 0});
 }
 
 void Forwarder::Complete(Exchange& exchange) {
   // A server that fails quickly must not pass for a quick one.
   const bool failed = IsServerFailure(exchange.attempt.head.status);
-  EndAttempt(exchange, failed ? EndKind::kBroken : EndKind::kComplete);
+  EndAttempt(exchange,
+             failed ? RequestOutcome::kFailed : RequestOutcome::kComplete);
   Answer(exchange);
 }
 
@@ -230,7 +231,7 @@
             << " wrong_server=" << wrong;
   ++exchange.sheds;
   const ExchangeId id = exchange.id;
-  EndAttempt(exchange, EndKind::kShed);
+  EndAttempt(exchange, RequestOutcome::kShed);
   if (wrong && on_wrong_server_) on_wrong_server_(server);
   if (Find(id) == nullptr) return;
   if (exchange.sheds <= kMostSheds && Resend(exchange, "not run")) return;
@@ -249,7 +250,7 @@
   const bool whole_failure =
       exchange.attempt.head_seen && IsServerFailure(head.status);
   std::string body = std::move(exchange.body);
-  EndAttempt(exchange, EndKind::kBroken);
+  EndAttempt(exchange, RequestOutcome::kFailed);
   const int runs = exchange.sendings - exchange.sheds;
   if (exchange.repeatable() && runs < exchange.route->max_attempts &&
       Resend(exchange, "may have run")) {
--- a/src/gateway/group_client.cc
+++ b/src/gateway/group_client.cc
@@ -117,11 +117,12 @@
   return true;
 }
 
-bool GroupClient::Ended(const schedule::RequestEnded& event, absl::Time now) {
+bool GroupClient::Ended(const schedule::RequestFinished& event,
+                        absl::Time now) {
   const auto found = open_.find(event.id);
   if (found == open_.end()) return false;
   Open& open = found->second;
-  if (event.kind != schedule::EndKind::kNotSent) {
+  if (event.kind != schedule::RequestOutcome::kNotSent) {
     Send(open, event);
     Erase(event.id);
     return false;
@@ -131,9 +132,9 @@
   open.asked = now;
   open.answer_due = now + AnswerTime(open.request, now);
   const Open asked = open;
-  hooks_.tell_own(
-      asked.service,
-      schedule::RequestEnded{event.id, schedule::EndKind::kBroken, 0, 0});
+  hooks_.tell_own(asked.service,
+                  schedule::RequestFinished{
+                      event.id, schedule::RequestOutcome::kFailed, 0, 0});
   Send(asked, event);
   return true;
 }
@@ -143,10 +144,10 @@
   if (const auto* arrived = std::get_if<schedule::RequestArrived>(&event)) {
     return Ask(service, arrived->request, now);
   }
-  if (const auto* ended = std::get_if<schedule::RequestEnded>(&event)) {
+  if (const auto* ended = std::get_if<schedule::RequestFinished>(&event)) {
     return Ended(*ended, now);
   }
-  if (const auto* gone = std::get_if<schedule::CallerGone>(&event)) {
+  if (const auto* gone = std::get_if<schedule::CallerDisconnected>(&event)) {
     const auto found = open_.find(gone->id);
     if (found == open_.end()) return false;
     Send(found->second, *gone);
@@ -180,9 +181,9 @@
     const auto group = groups_of_.find(grant.server);
     if (group == groups_of_.end()) return;
     return hooks_.send(
-        from,
-        {group->second, schedule::RequestEnded{
-                            grant.id, schedule::EndKind::kCancelled, 0, 0}});
+        from, {group->second,
+               schedule::RequestFinished{
+                   grant.id, schedule::RequestOutcome::kCancelled, 0, 0}});
   }
   Open& open = found->second;
   open.server = grant.server;
@@ -228,7 +229,7 @@
 void GroupClient::TakeBack(const RequestId& id) {
   const Open open = open_.at(id);
   Erase(id);
-  Send(open, schedule::CallerGone{id});
+  Send(open, schedule::CallerDisconnected{id});
   hooks_.tell_own(open.service, schedule::RequestArrived{open.request});
 }
 
@@ -295,9 +296,9 @@
     // A copy: what is told to a dispatcher of this host may come back at once
     // and change the table.
     const Open open = found->second;
-    hooks_.send(before,
-                {open.group, schedule::RequestEnded{
-                                 id, schedule::EndKind::kCancelled, 0, 0}});
+    hooks_.send(before, {open.group,
+                         schedule::RequestFinished{
+                             id, schedule::RequestOutcome::kCancelled, 0, 0}});
     Send(open, schedule::RequestRunning{open.request, open.server,
                                         open.output_tokens});
   }
--- a/src/gateway/group_client.h
+++ b/src/gateway/group_client.h
@@ -86,7 +86,7 @@
   bool Ask(const ServiceId& service, const schedule::Request& request,
            absl::Time now);
   void Send(const Open& open, GroupEvent event);
-  bool Ended(const schedule::RequestEnded& event, absl::Time now);
+  bool Ended(const schedule::RequestFinished& event, absl::Time now);
   void TakeGrant(const EntryHostId& from, const schedule::Grant& grant);
   void TakeRefusal(const EntryHostId& from, const schedule::Refuse& refusal);
   void TakeWaits(const EntryHostId& from, const RequestWaits& waits);
--- a/src/gateway/group_dispatchers.cc
+++ b/src/gateway/group_dispatchers.cc
@@ -129,11 +129,11 @@
   if (const auto* running = std::get_if<schedule::RequestRunning>(&event)) {
     kept->of_hosts[from][running->request.id] = now;
   }
-  if (const auto* gone = std::get_if<schedule::CallerGone>(&event)) {
+  if (const auto* gone = std::get_if<schedule::CallerDisconnected>(&event)) {
     return End(item.group, kept, gone->id, now);
   }
-  if (const auto* ended = std::get_if<schedule::RequestEnded>(&event)) {
-    if (ended->kind == schedule::EndKind::kNotSent) {
+  if (const auto* ended = std::get_if<schedule::RequestFinished>(&event)) {
+    if (ended->kind == schedule::RequestOutcome::kNotSent) {
       return Ask(item.group, kept, ended->id, from, event, now);
     }
     if (kept->waiting.contains(ended->id)) {
@@ -159,10 +159,12 @@
                            const RequestId& id, absl::Time now) {
   for (auto& [host, requests] : kept->of_hosts) requests.erase(id);
   if (kept->waiting.erase(id) > 0) {
-    Handle(group, kept, schedule::CallerGone{id}, now);
+    Handle(group, kept, schedule::CallerDisconnected{id}, now);
   }
-  Handle(group, kept,
-         schedule::RequestEnded{id, schedule::EndKind::kCancelled, 0, 0}, now);
+  Handle(
+      group, kept,
+      schedule::RequestFinished{id, schedule::RequestOutcome::kCancelled, 0, 0},
+      now);
 }
 
 void GroupDispatchers::Reconcile(const GroupKey& group, Kept* kept,
--- a/src/gateway/group_link_test.cc
+++ b/src/gateway/group_link_test.cc
@@ -179,7 +179,7 @@
   site.Pass(absl::Milliseconds(20));
   Host& host = site.hosts.at("h1");
   const std::string first = host.decided.at(id);
-  site.End("h1", id, schedule::EndKind::kNotSent);
+  site.End("h1", id, schedule::RequestOutcome::kNotSent);
   site.Pass(absl::Milliseconds(20));
   BOOST_TEST(host.decided.at(id) != first);
   BOOST_TEST(host.decisions.at(id) == 2);
--- a/src/gateway/group_messages.cc
+++ b/src/gateway/group_messages.cc
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kMark = "GG1";
 
-using schedule::EndKind;
+using schedule::RequestOutcome;
 
 // Times are told as so many of these microseconds from now: fine against the
 // milliseconds that a datagram takes, and six hours fit into 32 bits.
@@ -72,14 +72,14 @@
     WriteText(writer_, event.server.str());
     writer_(static_cast<std::int32_t>(event.output_tokens));
   }
-  void Put(const schedule::CallerGone& event) {
+  void Put(const schedule::CallerDisconnected& event) {
     WriteText(writer_, event.id.str());
   }
   void Put(const schedule::TokensStreamed& event) {
     WriteText(writer_, event.id.str());
     writer_(static_cast<std::int32_t>(event.output_tokens));
   }
-  void Put(const schedule::RequestEnded& event) {
+  void Put(const schedule::RequestFinished& event) {
     WriteText(writer_, event.id.str());
     writer_(static_cast<std::uint8_t>(event.kind),
             static_cast<std::int32_t>(event.output_tokens));
@@ -186,15 +186,15 @@
     GetId(&event->server);
     GetNumber<std::int32_t>(&event->output_tokens);
   }
-  void Get(schedule::CallerGone* event) { GetId(&event->id); }
+  void Get(schedule::CallerDisconnected* event) { GetId(&event->id); }
   void Get(schedule::TokensStreamed* event) {
     GetId(&event->id);
     GetNumber<std::int32_t>(&event->output_tokens);
   }
-  void Get(schedule::RequestEnded* event) {
+  void Get(schedule::RequestFinished* event) {
     GetId(&event->id);
     GetNumber<std::uint8_t>(&event->kind);
-    if (event->kind > EndKind::kCancelled) {
+    if (event->kind > RequestOutcome::kCancelled) {
       throw std::out_of_range("an unknown end");
     }
     GetNumber<std::int32_t>(&event->output_tokens);
--- a/src/gateway/group_messages.h
+++ b/src/gateway/group_messages.h
@@ -40,8 +40,8 @@
 // To the dispatcher of a group.
 using GroupEvent =
     std::variant<schedule::RequestArrived, schedule::RequestRunning,
-                 schedule::CallerGone, schedule::TokensStreamed,
-                 schedule::RequestEnded, OpenRequests>;
+                 schedule::CallerDisconnected, schedule::TokensStreamed,
+                 schedule::RequestFinished, OpenRequests>;
 
 struct ToGroup {
   GroupKey group;
--- a/src/gateway/group_site_test.h
+++ b/src/gateway/group_site_test.h
@@ -121,10 +121,11 @@
     return request.id;
   }
 
-  void End(const std::string& host, const RequestId& id,
-           schedule::EndKind kind = schedule::EndKind::kComplete) {
+  void End(
+      const std::string& host, const RequestId& id,
+      schedule::RequestOutcome kind = schedule::RequestOutcome::kComplete) {
     hosts.at(host).link->Tell(service.id,
-                              schedule::RequestEnded{id, kind, 50, 0});
+                              schedule::RequestFinished{id, kind, 50, 0});
   }
 
   void Pass(absl::Duration span) {
--- a/src/gateway/groups_test.cc
+++ b/src/gateway/groups_test.cc
@@ -132,10 +132,10 @@
   message.events = {
       {group, schedule::RequestArrived{SampleRequest()}},
       {group, schedule::RequestRunning{SampleRequest(), ServerId("t"), 12}},
-      {group, schedule::CallerGone{RequestId("1")}},
+      {group, schedule::CallerDisconnected{RequestId("1")}},
       {group, schedule::TokensStreamed{RequestId("2"), 5}},
-      {group,
-       schedule::RequestEnded{RequestId("3"), schedule::EndKind::kBroken, 9}},
+      {group, schedule::RequestFinished{RequestId("3"),
+                                        schedule::RequestOutcome::kFailed, 9}},
       {group, OpenRequests{{RequestId("4"), RequestId("5")}}}};
   message.answers = {
       schedule::Grant{RequestId("6"), EntryHostId(), ServerId("t")},
@@ -165,8 +165,9 @@
       std::get<schedule::RequestRunning>(back->events[1].event);
   BOOST_TEST((running.request == expected));
   BOOST_TEST(running.server.str() == "t");
-  const auto& ended = std::get<schedule::RequestEnded>(back->events[4].event);
-  BOOST_TEST((ended.kind == schedule::EndKind::kBroken));
+  const auto& ended =
+      std::get<schedule::RequestFinished>(back->events[4].event);
+  BOOST_TEST((ended.kind == schedule::RequestOutcome::kFailed));
   BOOST_TEST(ended.output_tokens == 9);
   BOOST_TEST(std::get<OpenRequests>(back->events[5].event).ids.size() == 2u);
   BOOST_TEST((back->answers == Sample().answers));
--- a/src/replay/baseline.cc
+++ b/src/replay/baseline.cc
@@ -119,7 +119,7 @@
   queue_.push_back(event.request);
 }
 
-void BaselineState::On(const schedule::CallerGone& event) {
+void BaselineState::On(const schedule::CallerDisconnected& event) {
   std::erase_if(queue_, [&](const auto& it) { return it.id == event.id; });
 }
 
@@ -130,12 +130,12 @@
   if (found != running_.end()) FirstTokenSeen(&found->second);
 }
 
-void BaselineState::On(const schedule::RequestEnded& event) {
+void BaselineState::On(const schedule::RequestFinished& event) {
   auto found = running_.find(event.id);
   if (found == running_.end()) return;
   FirstTokenSeen(&found->second);
   --servers_[found->second.server].outstanding;
-  if (event.kind == schedule::EndKind::kNotSent) {
+  if (event.kind == schedule::RequestOutcome::kNotSent) {
     queue_.push_front(found->second.request);
   }
   running_.erase(found);
--- a/src/replay/baseline.h
+++ b/src/replay/baseline.h
@@ -111,10 +111,10 @@
   };
 
   void On(const schedule::RequestArrived& event);
-  void On(const schedule::CallerGone& event);
+  void On(const schedule::CallerDisconnected& event);
   void On(const schedule::RequestRunning& event);
   void On(const schedule::TokensStreamed& event);
-  void On(const schedule::RequestEnded& event);
+  void On(const schedule::RequestFinished& event);
   void On(const schedule::LoadReported& event);
   void On(const schedule::LoadAnswered& event);
   void On(const schedule::LoadElsewhere& event);
--- a/src/replay/scale.cc
+++ b/src/replay/scale.cc
@@ -142,8 +142,9 @@
     double seconds = absl::ToDoubleSeconds(now_ - oldest.granted);
     double tokens = std::max(0.0, seconds - kFirstTokenSeconds) * kDecodeSpeed *
                     oldest.generation / kFullBatchSlowdown;
-    Handle(schedule::RequestEnded{oldest.id, schedule::EndKind::kComplete,
-                                  1 + static_cast<int>(tokens), 0});
+    Handle(schedule::RequestFinished{oldest.id,
+                                     schedule::RequestOutcome::kComplete,
+                                     1 + static_cast<int>(tokens), 0});
   }
 
   void Handle(const Event& event) {
--- a/src/replay/site.cc
+++ b/src/replay/site.cc
@@ -9,8 +9,8 @@
 namespace gentianlb::replay {
 namespace {
 
-using schedule::EndKind;
 using schedule::kPrefixBlockTokens;
+using schedule::RequestOutcome;
 using schedule::ServerHealth;
 
 // Longer than any answer takes: what is open then was forgotten.
@@ -165,9 +165,9 @@
     case StreamChange::Kind::kFinished:
       if (plain()) ledger_.FirstToken(change.index, now_ + kHop);
       ledger_.Finished(change.index, now_ + kHop);
-      Tell(schedule::RequestEnded{record.trace.id, EndKind::kComplete,
-                                  record.trace.output_tokens,
-                                  record.cached_tokens},
+      Tell(schedule::RequestFinished{record.trace.id, RequestOutcome::kComplete,
+                                     record.trace.output_tokens,
+                                     record.cached_tokens},
            kHop);
       return;
   }
@@ -210,15 +210,16 @@
     return;
   }
   // The connection was refused: the server certainly did not get it.
-  EndKind kind = record.caller_gone ? EndKind::kCancelled : EndKind::kNotSent;
+  RequestOutcome kind = record.caller_gone ? RequestOutcome::kCancelled
+                                           : RequestOutcome::kNotSent;
   ledger_.NotSent(action.work.index);
-  Tell(schedule::RequestEnded{record.trace.id, kind}, kHop);
+  Tell(schedule::RequestFinished{record.trace.id, kind}, kHop);
 }
 
 void Site::Do(const CancelAtServer& action) {
   auto remains = servers_[action.server].Cancel(action.index);
   if (!remains.has_value()) return;
-  EndStopped(*remains, Phase::kCancelled, EndKind::kCancelled);
+  EndStopped(*remains, Phase::kCancelled, RequestOutcome::kCancelled);
   SettleServer(action.server);
 }
 
@@ -275,7 +276,7 @@
   Phase phase = ledger_.record(index).phase;
   if (phase != Phase::kWaiting && phase != Phase::kRunning) return;
   ledger_.CallerLeft(index);
-  events_->push_back(schedule::CallerGone{cancel.id});
+  events_->push_back(schedule::CallerDisconnected{cancel.id});
   if (phase == Phase::kRunning) {
     Plan(now_ + kHop, CancelAtServer{ledger_.record(index).server, index});
   }
@@ -290,7 +291,7 @@
   int server = ServerIndex(dead.server);
   if (server < 0 || !servers_[server].alive()) return;
   for (const StreamRemains& remains : servers_[server].Die()) {
-    EndStopped(remains, Phase::kBroken, EndKind::kBroken);
+    EndStopped(remains, Phase::kBroken, RequestOutcome::kFailed);
   }
   Plan(now_ + kSuspectAfter, HealthNews{server, ServerHealth::kSuspect});
   Plan(now_ + kDeadAfter, HealthNews{server, ServerHealth::kDead});
@@ -351,10 +352,11 @@
   Plan(now_ + kHop, CancelAtServer{ledger_.record(index).server, index});
 }
 
-void Site::EndStopped(const StreamRemains& remains, Phase phase, EndKind kind) {
+void Site::EndStopped(const StreamRemains& remains, Phase phase,
+                      RequestOutcome kind) {
   ledger_.Stopped(remains, phase);
   const RequestId& id = ledger_.record(remains.index).trace.id;
-  Tell(schedule::RequestEnded{id, kind, remains.output_tokens}, kHop);
+  Tell(schedule::RequestFinished{id, kind, remains.output_tokens}, kHop);
 }
 
 int Site::ServerIndex(const ServerId& id) const {
--- a/src/replay/site.h
+++ b/src/replay/site.h
@@ -123,7 +123,7 @@
   void Changed(int server, const StreamChange& change);
   void CountRecomputed(int server, const StreamChange& change);
   void EndStopped(const StreamRemains& remains, Phase phase,
-                  schedule::EndKind kind);
+                  schedule::RequestOutcome kind);
   // A plain service answers as a whole: nothing streams before the end.
   bool plain() const { return service_.model.empty(); }
 
--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -92,7 +92,7 @@
 }
 
 void LearnFromResponse(State& state, const Running& running,
-                       const RequestEnded& event) {
+                       const RequestFinished& event) {
   const Waiting& origin = running.origin;
   Server& server = state.fleet.at(running.server);
   state.retries.OnCall();
@@ -124,20 +124,21 @@
                       event.output_tokens - origin.output.median);
 }
 
-double PrefillTokens(const Running& running, const RequestEnded& event,
+double PrefillTokens(const Running& running, const RequestFinished& event,
                      absl::Time now) {
-  if (event.kind != EndKind::kComplete) return ComputedPrefill(running, now);
+  if (event.kind != RequestOutcome::kComplete)
+    return ComputedPrefill(running, now);
   if (event.cached_prompt_tokens <= 0) return running.demand.prefill_tokens;
   return std::max(
       0, running.origin.request.prompt_tokens - event.cached_prompt_tokens);
 }
 
 void CountPrefill(State& state, const Running& running,
-                  const RequestEnded& event) {
+                  const RequestFinished& event) {
   const double prefill = PrefillTokens(running, event, state.now);
   state.counters.prefill_computed += prefill;
-  if (event.kind == EndKind::kComplete) return;
-  const WasteCause default_cause = event.kind == EndKind::kBroken
+  if (event.kind == RequestOutcome::kComplete) return;
+  const WasteCause default_cause = event.kind == RequestOutcome::kFailed
                                        ? WasteCause::kServerBroke
                                        : WasteCause::kCallerGone;
   const WasteCause cause = running.cancelled.value_or(default_cause);
@@ -214,7 +215,7 @@
   }
 }
 
-void OnRequestFinished(State& state, const RequestEnded& event) {
+void OnRequestFinished(State& state, const RequestFinished& event) {
   const RunIndex index = state.running.Find(event.id);
   if (index == kNoIndex) return;
   Running running = state.running.Remove(index);
@@ -222,13 +223,13 @@
   Server& server = state.fleet.at(server_index);
   Release(state, running);
   switch (event.kind) {
-    case EndKind::kComplete:
+    case RequestOutcome::kComplete:
       ++state.counters.completed;
       server.CountEnd(/*failed=*/false);
       CountPrefill(state, running, event);
       LearnFromResponse(state, running, event);
       break;
-    case EndKind::kBroken:
+    case RequestOutcome::kFailed:
       CountPrefill(state, running, event);
       // A server that fails every request at once looks idle and would attract
       // all work.
@@ -239,16 +240,16 @@
         server.window.Failed(state.now);
       }
       break;
-    case EndKind::kCancelled:
+    case RequestOutcome::kCancelled:
       ++state.counters.cancelled;
       CountPrefill(state, running, event);
       break;
-    case EndKind::kShed:
+    case RequestOutcome::kShed:
       ++state.counters.shed_by_server;
       server.CountEnd(/*failed=*/true);
       CutWindow(state, server);
       break;
-    case EndKind::kNotSent:
+    case RequestOutcome::kNotSent:
       server.window.Unreachable(state.now);
       // A Cancel already was the final decision on the request.
       if (!running.cancelled) {
--- a/src/schedule/answers.h
+++ b/src/schedule/answers.h
@@ -16,7 +16,7 @@
 
 // Frees the capacity of a finished request and learns from its outcome. A
 // request that was not sent is queued again or refused.
-void OnRequestFinished(State& state, const RequestEnded& event);
+void OnRequestFinished(State& state, const RequestFinished& event);
 
 // Cuts the windows of servers whose first tokens are overdue. A server that
 // hangs sends no slow response to learn from, so only the missing response
--- a/src/schedule/dispatcher.cc
+++ b/src/schedule/dispatcher.cc
@@ -41,7 +41,7 @@
   RefuseUnserved(state);
 }
 
-void OnCallerDisconnected(State& state, const CallerGone& event) {
+void OnCallerDisconnected(State& state, const CallerDisconnected& event) {
   const auto waits = state.waiting_by_id.find(event.id);
   if (waits != state.waiting_by_id.end()) {
     RefuseWaiting(state, waits->second, Code::kCallerGone,
@@ -78,14 +78,14 @@
   void operator()(const RequestArrived& event) {
     OnRequestArrived(state, event.request);
   }
-  void operator()(const CallerGone& event) {
+  void operator()(const CallerDisconnected& event) {
     OnCallerDisconnected(state, event);
   }
   void operator()(const RequestRunning& event) { AdoptRunning(state, event); }
   void operator()(const TokensStreamed& event) {
     OnTokensStreamed(state, event);
   }
-  void operator()(const RequestEnded& event) {
+  void operator()(const RequestFinished& event) {
     OnRequestFinished(state, event);
   }
   void operator()(const LoadReported& event) {
--- a/src/schedule/dispatcher_property_test.cc
+++ b/src/schedule/dispatcher_property_test.cc
@@ -25,8 +25,8 @@
       site->speed_factors[server] = Pick(random, 3) * 0.5;
       return;
     case 1:
-      site->failures[server] =
-          Pick(random, 2) == 0 ? EndKind::kNotSent : EndKind::kBroken;
+      site->failures[server] = Pick(random, 2) == 0 ? RequestOutcome::kNotSent
+                                                    : RequestOutcome::kFailed;
       return;
     case 2:
       site->failures.clear();
@@ -41,7 +41,7 @@
       return;
     case 5:
       if (site->requests.empty()) return;
-      site->Deliver(CallerGone{site->requests.rbegin()->first});
+      site->Deliver(CallerDisconnected{site->requests.rbegin()->first});
       return;
     default: {
       const int tier = Pick(random, 3);
--- a/src/schedule/dispatcher_test.cc
+++ b/src/schedule/dispatcher_test.cc
@@ -246,7 +246,7 @@
   BOOST_TEST(site.dispatcher.worst_watts() == 260);
   site.Send("chat", 0, absl::Minutes(1), 100, 100);
   BOOST_TEST(site.grants.empty());
-  site.Deliver(RequestEnded{.id = RequestId("r0"), .output_tokens = 100});
+  site.Deliver(RequestFinished{.id = RequestId("r0"), .output_tokens = 100});
   BOOST_TEST(site.grants.size() == 1u);
 }
 
@@ -255,7 +255,7 @@
 BOOST_AUTO_TEST_CASE(UnsentRequestIsRetriedWithinTheBudget) {
   FakeSite site;
   site.AddServers(2);
-  site.failures[ServerId("server-0")] = EndKind::kNotSent;
+  site.failures[ServerId("server-0")] = RequestOutcome::kNotSent;
   for (int i = 0; i < 20; ++i) {
     site.Send("chat", 0, absl::Seconds(30), 100, 50);
     site.Run(absl::Milliseconds(200));
@@ -264,7 +264,7 @@
   BOOST_TEST(site.CountInTime("chat") == 20);
   BOOST_TEST(site.grants.size() < 30u);
   // All servers fail: the retries stop, and the callers are refused.
-  site.failures[ServerId("server-1")] = EndKind::kNotSent;
+  site.failures[ServerId("server-1")] = RequestOutcome::kNotSent;
   for (int i = 0; i < 50; ++i) {
     site.Send("chat", 0, absl::Seconds(30), 100, 50);
   }
@@ -278,7 +278,7 @@
 BOOST_AUTO_TEST_CASE(FailedRequestIsNeverRetried) {
   FakeSite site;
   site.AddServers(2);
-  site.failures[ServerId("server-0")] = EndKind::kBroken;
+  site.failures[ServerId("server-0")] = RequestOutcome::kFailed;
   for (int i = 0; i < 40; ++i) {
     site.Send("chat", 0, absl::Seconds(30), 100, 50);
     site.Run(absl::Milliseconds(200));
@@ -313,7 +313,7 @@
   site.AddServers(1);
   const RequestId id = site.Send("chat", 0, absl::Minutes(5), 1000, 3000);
   site.Run(absl::Seconds(2));
-  site.Deliver(CallerGone{id});
+  site.Deliver(CallerDisconnected{id});
   site.Run(FakeSite::kStep);
   BOOST_TEST(site.idle());
   BOOST_TEST(site.dispatcher.counters().Wasted(WasteCause::kCallerGone) ==
@@ -381,7 +381,7 @@
   std::vector<Decision> decisions;
   int next_id = 0;
   // Sends more requests than are granted; granted ones finish 30 ms later.
-  const auto run_scenario = [&](EndKind kind, int rounds) {
+  const auto run_scenario = [&](RequestOutcome kind, int rounds) {
     for (int i = 0; i < rounds; ++i) {
       for (int j = 0; j < 8; ++j) {
         Request request;
@@ -396,14 +396,15 @@
       for (const Decision& decision : before) {
         const auto* grant = std::get_if<Grant>(&decision);
         if (grant == nullptr) continue;
-        dispatcher.Handle(RequestEnded{grant->id, kind, 0, 0}, now, &decisions);
+        dispatcher.Handle(RequestFinished{grant->id, kind, 0, 0}, now,
+                          &decisions);
       }
     }
   };
   dispatcher.Handle(ServersConfigured{{spec}}, now, &decisions);
-  run_scenario(EndKind::kShed, 40);
+  run_scenario(RequestOutcome::kShed, 40);
   BOOST_TEST(dispatcher.window(ServerId("plain")) < 3);
-  run_scenario(EndKind::kComplete, 200);
+  run_scenario(RequestOutcome::kComplete, 200);
   BOOST_TEST(dispatcher.window(ServerId("plain")) == 6);
 }
 
--- a/src/schedule/fake_site_test.h
+++ b/src/schedule/fake_site_test.h
@@ -136,7 +136,8 @@
   std::map<RequestId, CallerOutcome> outcomes;
   std::vector<std::pair<RequestId, ServerId>> grants;
   std::map<ServerId, double> speed_factors;  // 0: the server hangs.
-  std::map<ServerId, EndKind> failures;  // Immediate result of grants there.
+  std::map<ServerId, RequestOutcome>
+      failures;  // Immediate result of grants there.
   double share = std::numeric_limits<double>::infinity();
   bool power_exceeded = false;
   bool busy_wakeup = false;
@@ -152,7 +153,7 @@
     int output = 0;
     bool first_token_reported = false;
     absl::Time reported_at;
-    std::optional<EndKind> result;
+    std::optional<RequestOutcome> result;
   };
 
   void RecordOutcome(const RequestId& id, CallerOutcome outcome) {
@@ -184,9 +185,10 @@
     if (stream->id != cancel.id) return;
     // The stream may have finished before the cancel arrived. A request that
     // was not sent isn't retried after a cancel, so the cancel is its outcome.
-    const EndKind result = stream->result.value_or(EndKind::kNotSent);
-    if (result != EndKind::kNotSent) return;
-    stream->result = EndKind::kCancelled;
+    const RequestOutcome result =
+        stream->result.value_or(RequestOutcome::kNotSent);
+    if (result != RequestOutcome::kNotSent) return;
+    stream->result = RequestOutcome::kCancelled;
     RecordOutcome(cancel.id, {.kind = CallerOutcome::Kind::kCancelled,
                               .code = cancel.code});
   }
@@ -209,7 +211,7 @@
     const int tokens = static_cast<int>(stream->tokens);
     if (tokens < 1) return;
     if (tokens >= stream->output) {
-      stream->result = EndKind::kComplete;
+      stream->result = RequestOutcome::kComplete;
       RecordOutcome(stream->id, {});
     } else if (!stream->first_token_reported ||
                now - stream->reported_at >= absl::Milliseconds(200)) {
@@ -249,13 +251,13 @@
       // another stream.
       const Stream stream = finished_.front();
       finished_.erase(finished_.begin());
-      if (stream.result == EndKind::kBroken) {
+      if (stream.result == RequestOutcome::kFailed) {
         RecordOutcome(stream.id, {.kind = CallerOutcome::Kind::kBroken});
       }
-      Deliver(RequestEnded{.id = stream.id,
-                           .kind = *stream.result,
-                           .output_tokens = static_cast<int>(stream.tokens),
-                           .cached_prompt_tokens = stream.cached});
+      Deliver(RequestFinished{.id = stream.id,
+                              .kind = *stream.result,
+                              .output_tokens = static_cast<int>(stream.tokens),
+                              .cached_prompt_tokens = stream.cached});
     }
   }
 
--- a/src/schedule/messages.h
+++ b/src/schedule/messages.h
@@ -115,7 +115,7 @@
 };
 
 // The caller closed its connection, or its entry host is gone.
-struct CallerGone {
+struct CallerDisconnected {
   RequestId id;
 };
 
@@ -134,17 +134,17 @@
   int output_tokens = 0;
 };
 
-enum class EndKind {
+enum class RequestOutcome {
   kComplete,
-  kBroken,     // The server broke off, or answered an error.
+  kFailed,     // The server broke off, or answered an error.
   kNotSent,    // Certain: the server never received it.
   kShed,       // Certain: the server had no room and has not run it.
-  kCancelled,  // After a Cancel decision or a CallerGone.
+  kCancelled,  // After a Cancel decision or a CallerDisconnected.
 };
 
-struct RequestEnded {
+struct RequestFinished {
   RequestId id;
-  EndKind kind = EndKind::kComplete;
+  RequestOutcome kind = RequestOutcome::kComplete;
   int output_tokens = 0;
   int cached_prompt_tokens = 0;  // As the engine reports; 0 if it doesn't.
 };
@@ -215,8 +215,8 @@
 // Nothing happened but that time passed.
 struct TimePassed {};
 
-using Event = std::variant<RequestArrived, CallerGone, RequestRunning,
-                           TokensStreamed, RequestEnded, LoadReported,
+using Event = std::variant<RequestArrived, CallerDisconnected, RequestRunning,
+                           TokensStreamed, RequestFinished, LoadReported,
                            LoadAnswered, LoadElsewhere, PaceElsewhere,
                            CacheChanged, ServerHealthChanged, ServersConfigured,
                            WorkspacesConfigured, PowerShareChanged, TimePassed>;
@@ -241,7 +241,7 @@
   bool operator==(const Refuse&) const = default;
 };
 
-// Stops a running request on its server; RequestEnded follows.
+// Stops a running request on its server; RequestFinished follows.
 struct Cancel {
   RequestId id;
   EntryHostId host;
