--- a/src/gateway/forwarder_sending.cc
+++ b/src/gateway/forwarder_sending.cc
@@ -93,7 +93,7 @@
         use.alone = static_cast<std::uint16_t>(
             std::max(0, use.running - groups_->GrantedOn(server.id)));
       }
-      if (const auto pace = queue.dispatcher().PaceOf(server.id)) {
+      if (const auto pace = queue.dispatcher().MeasuredSlowdown(server.id)) {
         use.prefill = static_cast<float>(pace->prefill);
         use.decode = static_cast<float>(pace->decode);
       }
@@ -112,12 +112,12 @@
       const ServerUse use = found == uses.end() ? ServerUse{} : found->second;
       ServerUse& told = told_elsewhere_[server.id];
       if (told.running != use.running) {
-        Tell(service.id, schedule::LoadElsewhere{server.id, use.running});
+        Tell(service.id, schedule::PeerLoadReported{server.id, use.running});
       }
       const bool paced = use.decode > 0 && service.engine;
       if (paced && (told.decode != use.decode || told.prefill != use.prefill)) {
-        Tell(service.id,
-             schedule::PaceElsewhere{server.id, use.prefill, use.decode});
+        Tell(service.id, schedule::PeerSlowdownReported{server.id, use.prefill,
+                                                        use.decode});
       }
       told = use;
     }
@@ -137,8 +137,8 @@
   // Carrying out what follows from it may end this request too.
   const ExchangeId id = exchange.id;
   Tell(exchange.service->id,
-       schedule::LoadAnswered{exchange.attempt.server->id, load->running,
-                              load->waiting});
+       schedule::ResponseLoadReported{exchange.attempt.server->id,
+                                      load->running, load->waiting});
   return Find(id) == nullptr ? http::Reading::kStop : http::Reading::kGoOn;
 }
 
--- a/src/gateway/group_dispatchers.cc
+++ b/src/gateway/group_dispatchers.cc
@@ -240,7 +240,7 @@
       int& told = kept.alone[server.id];
       if (told == alone) continue;
       told = alone;
-      Handle(group, &kept, schedule::LoadElsewhere{server.id, alone}, now);
+      Handle(group, &kept, schedule::PeerLoadReported{server.id, alone}, now);
     }
   }
 }
--- a/src/gateway/service_queue.cc
+++ b/src/gateway/service_queue.cc
@@ -21,13 +21,13 @@
   schedule::ServerSpec spec;
   spec.id = entry.id;
   spec.max_streams = entry.streams;
-  spec.reluctance = liking.reluctance;
-  spec.alike = liking.alike;
+  spec.cost_factor = liking.reluctance;
+  spec.expected_competitors = liking.alike;
   if (!service.engine) return spec;
   spec.models = service.engine->models;
   spec.prefill_tokens_per_second = guess_.prefill_tokens_per_second;
   spec.decode_tokens_per_second = guess_.decode_tokens_per_second;
-  spec.speeds_guessed = true;
+  spec.speeds_estimated = true;
   spec.kv_tokens = service.engine->kv_tokens;
   spec.cache_tokens = service.engine->kv_tokens;
   return spec;
--- a/src/replay/baseline.cc
+++ b/src/replay/baseline.cc
@@ -146,14 +146,14 @@
   if (server != nullptr) server->reported = event.running + event.queued;
 }
 
-void BaselineState::On(const schedule::LoadAnswered& event) {
+void BaselineState::On(const schedule::ResponseLoadReported& event) {
   BaselineServer* server = Find(event.server);
   if (server != nullptr) server->reported = event.running + event.queued;
 }
 
-void BaselineState::On(const schedule::LoadElsewhere&) {}
+void BaselineState::On(const schedule::PeerLoadReported&) {}
 
-void BaselineState::On(const schedule::PaceElsewhere&) {}
+void BaselineState::On(const schedule::PeerSlowdownReported&) {}
 
 void BaselineState::On(const schedule::CacheChanged&) {}
 
--- a/src/replay/baseline.h
+++ b/src/replay/baseline.h
@@ -116,9 +116,9 @@
   void On(const schedule::TokensStreamed& event);
   void On(const schedule::RequestFinished& event);
   void On(const schedule::LoadReported& event);
-  void On(const schedule::LoadAnswered& event);
-  void On(const schedule::LoadElsewhere& event);
-  void On(const schedule::PaceElsewhere& event);
+  void On(const schedule::ResponseLoadReported& event);
+  void On(const schedule::PeerLoadReported& event);
+  void On(const schedule::PeerSlowdownReported& event);
   void On(const schedule::CacheChanged& event);
   void On(const schedule::ServerHealthChanged& event);
   void On(const schedule::ServersConfigured& event);
--- a/src/schedule/dispatcher.cc
+++ b/src/schedule/dispatcher.cc
@@ -65,7 +65,7 @@
   OnCapacityFreed(state, server);
 }
 
-void SeedSpeed(State& state, const PaceElsewhere& event) {
+void SeedSpeed(State& state, const PeerSlowdownReported& event) {
   const ServerIndex server = state.fleet.Find(event.server);
   if (server == kNoIndex) return;
   state.fleet.at(server).pace.Told(event.prefill, event.decode);
@@ -91,13 +91,15 @@
   void operator()(const LoadReported& event) {
     UpdateLoad<&Server::Report>(state, event);
   }
-  void operator()(const LoadAnswered& event) {
+  void operator()(const ResponseLoadReported& event) {
     UpdateLoad<&Server::Answered>(state, event);
   }
-  void operator()(const LoadElsewhere& event) {
+  void operator()(const PeerLoadReported& event) {
     UpdateLoad<&Server::Elsewhere>(state, event);
   }
-  void operator()(const PaceElsewhere& event) { SeedSpeed(state, event); }
+  void operator()(const PeerSlowdownReported& event) {
+    SeedSpeed(state, event);
+  }
   void operator()(const CacheChanged& event) {
     const ServerIndex server = state.fleet.Find(event.server);
     if (server != kNoIndex) state.cache.Changed(server, event, state.now);
@@ -195,12 +197,14 @@
 std::size_t Dispatcher::waiting() const { return state_->queue.size(); }
 std::size_t Dispatcher::running() const { return state_->running.size(); }
 
-std::optional<PaceElsewhere> Dispatcher::PaceOf(const ServerId& server) const {
+std::optional<PeerSlowdownReported> Dispatcher::MeasuredSlowdown(
+    const ServerId& server) const {
   const ServerIndex index = state_->fleet.Find(server);
   if (index == kNoIndex) return std::nullopt;
   const Pace& pace = state_->fleet.at(index).pace;
   if (!pace.learnt()) return std::nullopt;
-  return PaceElsewhere{server, pace.prefill_stretch(), pace.decode_stretch()};
+  return PeerSlowdownReported{server, pace.prefill_stretch(),
+                              pace.decode_stretch()};
 }
 
 int Dispatcher::window(const ServerId& server) const {
--- a/src/schedule/dispatcher.h
+++ b/src/schedule/dispatcher.h
@@ -55,7 +55,8 @@
   // Returns the slowdown of a server that this dispatcher measured itself, to
   // be published to peers; nullopt if there are no samples or the server is
   // unknown.
-  std::optional<PaceElsewhere> PaceOf(const ServerId& server) const;
+  std::optional<PeerSlowdownReported> MeasuredSlowdown(
+      const ServerId& server) const;
 
   // Returns the learned window of a server, in streams; 0 if it is unknown.
   int window(const ServerId& server) const;
--- a/src/schedule/dispatcher_property_test.cc
+++ b/src/schedule/dispatcher_property_test.cc
@@ -59,7 +59,7 @@
   std::mt19937_64 random(seed);
   site->AddServers(4);
   if (speeds == Speeds::kGuessed) {
-    for (ServerSpec& spec : site->specs) spec.speeds_guessed = true;
+    for (ServerSpec& spec : site->specs) spec.speeds_estimated = true;
     site->Deliver(ServersConfigured{site->specs});
   }
   site->SetShare(2000);
--- a/src/schedule/fleet.cc
+++ b/src/schedule/fleet.cc
@@ -121,7 +121,7 @@
   // would never be asked again while others have room.
   double key = 0;
   if (open && !probing) {
-    key = server.spec.reluctance * server.FinishSeconds(kTypical, now);
+    key = server.spec.cost_factor * server.FinishSeconds(kTypical, now);
   }
   if (open && !probing && StaysInPlace(index, key)) return;
 
--- a/src/schedule/messages.h
+++ b/src/schedule/messages.h
@@ -39,7 +39,7 @@
   double prefill_tokens_per_second = 0;
   double decode_tokens_per_second = 0;  // Of one stream on an idle server.
   // The speeds are no more than a guess, and the first answers replace them.
-  bool speeds_guessed = false;
+  bool speeds_estimated = false;
   int max_streams = 0;            // Bound of the window.
   std::int64_t kv_tokens = 0;     // Memory for running streams.
   std::int64_t cache_tokens = 0;  // Memory for kept prompt prefixes.
@@ -47,10 +47,10 @@
   // 1 or more: how much longer than it does this server seems to take, when one
   // is chosen. Many dispatchers that see the same servers would else all choose
   // the same one before they hear of each other.
-  double reluctance = 1;
+  double cost_factor = 1;
   // How many other dispatchers are likely to choose this server whenever this
   // one does, and are heard of too late.
-  double alike = 0;
+  double expected_competitors = 0;
   bool operator==(const ServerSpec&) const = default;
 };
 
@@ -160,7 +160,7 @@
 
 // A server's load as told with one of its answers: as it is now but for the
 // way back.
-struct LoadAnswered {
+struct ResponseLoadReported {
   ServerId server;
   int running = 0;
   int queued = 0;
@@ -178,13 +178,13 @@
 
 // What other dispatchers have running on a server, as they tell it themselves
 // several times a second.
-struct LoadElsewhere {
+struct PeerLoadReported {
   ServerId server;
   int running = 0;
 };
 
 // How many times slower than expected a server is, as others have learnt it.
-struct PaceElsewhere {
+struct PeerSlowdownReported {
   ServerId server;
   double prefill = 1;
   double decode = 1;
@@ -215,11 +215,12 @@
 // Nothing happened but that time passed.
 struct TimePassed {};
 
-using Event = std::variant<RequestArrived, CallerDisconnected, RequestRunning,
-                           TokensStreamed, RequestFinished, LoadReported,
-                           LoadAnswered, LoadElsewhere, PaceElsewhere,
-                           CacheChanged, ServerHealthChanged, ServersConfigured,
-                           WorkspacesConfigured, PowerShareChanged, TimePassed>;
+using Event =
+    std::variant<RequestArrived, CallerDisconnected, RequestRunning,
+                 TokensStreamed, RequestFinished, LoadReported,
+                 ResponseLoadReported, PeerLoadReported, PeerSlowdownReported,
+                 CacheChanged, ServerHealthChanged, ServersConfigured,
+                 WorkspacesConfigured, PowerShareChanged, TimePassed>;
 
 // --- Decisions --------------------------------------------------------------
 
--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -99,14 +99,14 @@
 BOOST_AUTO_TEST_CASE(WhatOthersDoAlikeTakesRoomUntilItIsHeardOf) {
   ServerSpec spec;
   spec.max_streams = 10;
-  spec.alike = 2;
+  spec.expected_competitors = 2;
   Server server(spec);
   server.Elsewhere({ServerId("s"), 6}, At(0));
   BOOST_TEST(server.FreeStreams(At(0)) == 4);
   server.Begin({}, At(0));
   BOOST_TEST(server.FreeStreams(At(0)) == 1);
   BOOST_TEST(server.FreeStreams(At(1)) == 3);
-  spec.alike = 0;
+  spec.expected_competitors = 0;
   Server alone(spec);
   alone.Begin({}, At(0));
   BOOST_TEST(alone.FreeStreams(At(0)) == 9);
@@ -150,7 +150,7 @@
   ServerSpec spec;
   spec.prefill_tokens_per_second = 100000;
   spec.decode_tokens_per_second = 200;
-  spec.speeds_guessed = true;
+  spec.speeds_estimated = true;
   Pace pace(spec);
   for (int i = 0; i < 50; ++i) {
     pace.AddFirstToken(0.115, pace.ExpectedFirstToken(600, 1));
@@ -164,7 +164,7 @@
   ServerSpec spec;
   spec.prefill_tokens_per_second = 100000;
   spec.decode_tokens_per_second = 200;
-  spec.speeds_guessed = true;
+  spec.speeds_estimated = true;
   Pace pace(spec);
   for (int i = 0; i < 50; ++i) {
     pace.AddFirstToken(0.6 + 0.02, pace.ExpectedFirstToken(20000, 1));
--- a/src/schedule/pace.cc
+++ b/src/schedule/pace.cc
@@ -101,9 +101,9 @@
           SecondsEach(spec.prefill_tokens_per_second, kDefaultPrefillSpeed)),
       decode_token_(
           SecondsEach(spec.decode_tokens_per_second, kDefaultDecodeSpeed)),
-      guessed_(spec.speeds_guessed),
-      prefill_(spec.speeds_guessed),
-      decode_(spec.speeds_guessed),
+      guessed_(spec.speeds_estimated),
+      prefill_(spec.speeds_estimated),
+      decode_(spec.speeds_estimated),
       call_seconds_(kCallSeconds) {}
 
 double Pace::PrefillSeconds(double tokens) const {
--- a/src/schedule/place.cc
+++ b/src/schedule/place.cc
@@ -237,7 +237,7 @@
   // A probe is for finding out: whoever can bear it takes it.
   const double score =
       probe ? 0
-            : server.spec.reluctance *
+            : server.spec.cost_factor *
                   (weights_.goodput * finish +
                    weights_.wasted_prefill * kUncachedCost * uncached);
   if (best->hindrance == Hindrance::kNone && score >= *best_score) return;
--- a/src/schedule/server.cc
+++ b/src/schedule/server.cc
@@ -38,7 +38,7 @@
   const bool same_speed =
       spec.prefill_tokens_per_second == changed.prefill_tokens_per_second &&
       spec.decode_tokens_per_second == changed.decode_tokens_per_second &&
-      spec.speeds_guessed == changed.speeds_guessed;
+      spec.speeds_estimated == changed.speeds_estimated;
   if (!same_speed) pace = Pace(changed);
   window.SetBound(changed.max_streams);
   spec = changed;
@@ -89,13 +89,13 @@
   foreign_streams_ = std::max(0, report.running + report.queued - OwnPeak());
 }
 
-void Server::Answered(const LoadAnswered& answer, absl::Time now) {
+void Server::Answered(const ResponseLoadReported& answer, absl::Time now) {
   foreign_measured_ = now;
   foreign_streams_ = std::max(0, answer.running + answer.queued - running_);
   batch_mates_ = std::max(0, answer.running - running_);
 }
 
-void Server::Elsewhere(const LoadElsewhere& load, absl::Time now) {
+void Server::Elsewhere(const PeerLoadReported& load, absl::Time now) {
   foreign_measured_ = now;
   foreign_streams_ = load.running;
   batch_mates_ = load.running;
@@ -112,8 +112,8 @@
 }
 
 int Server::UnheardStreams(absl::Time now) const {
-  if (spec.alike <= 0) return 0;
-  return static_cast<int>(spec.alike * recent_.At(now));
+  if (spec.expected_competitors <= 0) return 0;
+  return static_cast<int>(spec.expected_competitors * recent_.At(now));
 }
 
 bool Server::PrefillFits(double prefill_tokens) const {
--- a/src/schedule/server.h
+++ b/src/schedule/server.h
@@ -45,8 +45,8 @@
   // Whether one more request failed there, or came to a good end.
   void CountEnd(bool failed);
   void Report(const LoadReported& report, absl::Time now);
-  void Answered(const LoadAnswered& answer, absl::Time now);
-  void Elsewhere(const LoadElsewhere& load, absl::Time now);
+  void Answered(const ResponseLoadReported& answer, absl::Time now);
+  void Elsewhere(const PeerLoadReported& load, absl::Time now);
 
   // --- Whether there is room ---
   // For any request at all.
