--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -93,7 +93,7 @@
 
 void LearnFromResponse(State& state, const Running& running,
                        const RequestFinished& event) {
-  const Waiting& origin = running.origin;
+  const WaitingRequest& origin = running.origin;
   Server& server = state.fleet.at(running.server);
   state.retries.OnCall();
   if (running.demand.plain) {
@@ -116,7 +116,7 @@
   }
   // Charges the workspace for the actual work instead of the estimate.
   const double actual =
-      WorkOf(origin.request.prompt_tokens, event.output_tokens);
+      RequestWork(origin.request.prompt_tokens, event.output_tokens);
   state.queue.CorrectCharge({origin.request.tier, origin.pool},
                             origin.workspace, origin.weight,
                             actual - origin.work);
@@ -162,7 +162,7 @@
   if (pool == kNoIndex) return;
   const WorkspaceIndex workspace = state.limits.Number(request.workspace);
 
-  Waiting origin = MakeWaitingRequest(state, request, workspace, pool);
+  WaitingRequest origin = MakeWaitingRequest(state, request, workspace, pool);
   const double cached = std::min<double>(
       request.prompt_tokens,
       state.cache.Find(origin.marks).CachedTokens(server, state.now));
--- a/src/schedule/fleet.cc
+++ b/src/schedule/fleet.cc
@@ -86,7 +86,7 @@
                                          server.spec.prefill_tokens_per_second);
       pool.best_decode_speed = std::max(pool.best_decode_speed,
                                         server.spec.decode_tokens_per_second);
-      pool.capacity += CapacityOf(server.spec);
+      pool.capacity += ServerCapacity(server.spec);
     }
   }
 }
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -176,7 +176,7 @@
                       .hopeful = optimistic};
   bool urgent = false;
   for (const WaitIndex index : heads_) {
-    const Waiting& waiting = state_.queue.Get(index);
+    const WaitingRequest& waiting = state_.queue.Get(index);
     if (optimistic && state_.now < waiting.urgent_at) continue;
     const Placement placement = placer_.Place(
         waiting, ReservesFor(state_, waiting), search, state_.now);
@@ -219,16 +219,17 @@
   // The server is held from lower tiers at once, but from later requests of the
   // same lane only after kMaxBypassTime.
   block_.servers.push_back(placement.server);
-  const absl::Time since = state_.queue.Get(index).since;
+  const absl::Time since = state_.queue.Get(index).enqueued_at;
   if (state_.now - since >= kMaxBypassTime) held_.push_back(placement.server);
 }
 
 void GrantRound::Grant(WaitIndex index, const Placement& placement) {
   const absl::Time now = state_.now;
-  const Waiting& head = state_.queue.Get(index);
+  const WaitingRequest& head = state_.queue.Get(index);
   // Must come before the removal, which may end the backlog.
-  state_.lane_drains.at({head.request.tier, head.pool}).Granted(head.work, now);
-  Waiting waiting = RemoveWaiting(state_, index);
+  state_.lane_drains.at({head.request.tier, head.pool})
+      .RecordGrant(head.work, now);
+  WaitingRequest waiting = RemoveWaiting(state_, index);
   Server& server = state_.fleet.at(placement.server);
   const Demand& demand = placement.demand;
 
@@ -238,11 +239,11 @@
   state_.limits.Runs(waiting.workspace);
   state_.limits.Charge(waiting.workspace,
                        waiting.request.prompt_tokens + waiting.output.median);
-  state_.pool_drains[waiting.pool].Granted(waiting.work, now);
+  state_.pool_drains[waiting.pool].RecordGrant(waiting.work, now);
 
   Running running = MakeRunning(state_, std::move(waiting), placement.server,
                                 demand, placement.cached_tokens);
-  const Waiting& origin = running.origin;
+  const WaitingRequest& origin = running.origin;
   server.Begin(demand, now);
   state_.power.Begin(placement.server, /*prefilling=*/true);
   state_.cache.Granted(placement.server, origin.marks,
@@ -257,8 +258,9 @@
 
 }  // namespace
 
-Running MakeRunning(const State& state, Waiting waiting, ServerIndex index,
-                    const Demand& demand, double cached_tokens) {
+Running MakeRunning(const State& state, WaitingRequest waiting,
+                    ServerIndex index, const Demand& demand,
+                    double cached_tokens) {
   const Server& server = state.fleet.at(index);
   const absl::Time now = state.now;
   Running running;
@@ -288,7 +290,7 @@
   return running;
 }
 
-Reserves ReservesFor(const State& state, const Waiting& waiting) {
+Reserves ReservesFor(const State& state, const WaitingRequest& waiting) {
   Reserves reserves;
   const int rank = waiting.request.tier.rank;
   const absl::Time since = state.now - kTierActivityWindow;
@@ -301,7 +303,7 @@
   reserves.streams = std::min(reserves.streams, kMaxStreamReserve);
   reserves.power = std::min(reserves.power, kMaxPowerReserve);
   const bool bounded =
-      waiting.request.first_token_due != absl::InfiniteFuture();
+      waiting.request.first_token_deadline != absl::InfiniteFuture();
   if (!waiting.is_long || bounded) return reserves;
   for (const auto& [tier, activity] : state.activity) {
     if (tier > rank) break;
--- a/src/schedule/grant.h
+++ b/src/schedule/grant.h
@@ -12,8 +12,9 @@
 
 // Returns the record of a request that starts on `server` now, with the
 // expected times its response is compared to.
-Running MakeRunning(const State& state, Waiting waiting, ServerIndex server,
-                    const Demand& demand, double cached_tokens);
+Running MakeRunning(const State& state, WaitingRequest waiting,
+                    ServerIndex server, const Demand& demand,
+                    double cached_tokens);
 
 // Grants as many waiting requests as possible. Does nothing unless a change
 // since the last call may have freed capacity.
@@ -21,7 +22,7 @@
 
 // Returns the capacity that a request must leave free for shorter and
 // higher-priority requests that are likely to arrive.
-Reserves ReservesFor(const State& state, const Waiting& waiting);
+Reserves ReservesFor(const State& state, const WaitingRequest& waiting);
 
 }  // namespace gentianlb::schedule
 
--- a/src/schedule/intake.cc
+++ b/src/schedule/intake.cc
@@ -29,7 +29,7 @@
 
 // Returns the service time of an answer of `output` tokens on the fastest idle
 // server.
-double MinServiceSeconds(const State& state, const Waiting& waiting,
+double MinServiceSeconds(const State& state, const WaitingRequest& waiting,
                          double output) {
   if (waiting.request.model.empty()) return 0;
   const Pool& pool = state.fleet.pool(waiting.pool);
@@ -47,7 +47,7 @@
   return seconds;
 }
 
-void RecordActivity(State& state, const Waiting& waiting) {
+void RecordActivity(State& state, const WaitingRequest& waiting) {
   TierActivity& activity = state.activity[waiting.request.tier.rank];
   activity.last_arrival = state.now;
   if (!waiting.is_long) activity.last_short_arrival = state.now;
@@ -56,8 +56,8 @@
 // Returns the latest start at which the fastest server meets the first token
 // deadline.
 absl::Time LatestStartForFirstToken(const State& state,
-                                    const Waiting& waiting) {
-  const absl::Time deadline = waiting.request.first_token_due;
+                                    const WaitingRequest& waiting) {
+  const absl::Time deadline = waiting.request.first_token_deadline;
   if (deadline == absl::InfiniteFuture()) return deadline;
   return deadline -
          absl::Seconds(MinServiceSeconds(state, waiting, /*output=*/0));
@@ -70,22 +70,23 @@
 // factor of fifty, and a few long ones would occupy most streams. None waits
 // long, as all are granted or refused within their objective. Other requests
 // are ordered by slack: a long one is served as its slack runs out.
-absl::Time OrderTime(const Waiting& waiting, absl::Duration usual_service) {
+absl::Time OrderTime(const WaitingRequest& waiting,
+                     absl::Duration usual_service) {
   // Large enough that length outweighs the time already waited.
   constexpr double kLengthWeight = 10;
-  if (waiting.request.first_token_due == absl::InfiniteFuture()) {
+  if (waiting.request.first_token_deadline == absl::InfiniteFuture()) {
     return waiting.latest_start;
   }
-  return waiting.since + kLengthWeight * usual_service;
+  return waiting.enqueued_at + kLengthWeight * usual_service;
 }
 
 // Returns the expected time until `waiting` is granted, counting only the work
 // that is ahead of it in the order.
-double EstimateWaitSeconds(const State& state, const Waiting& waiting) {
+double EstimateWaitSeconds(const State& state, const WaitingRequest& waiting) {
   const LaneKey lane{waiting.request.tier, waiting.pool};
   const double above = state.queue.WorkInHigherTiers(lane.tier, lane.pool);
-  const double ahead = state.queue.WorkAhead(lane, waiting.workspace,
-                                             waiting.weight, waiting.order_at);
+  const double ahead = state.queue.WorkAhead(
+      lane, waiting.workspace, waiting.weight, waiting.order_time);
   return above + ahead <= 0
              ? 0
              : (above + ahead) / DrainPerSecond(state, waiting.pool);
@@ -93,17 +94,19 @@
 
 // Returns whether the work ahead of it in its own tier takes longer than the
 // time to its latest start, at the rate that higher tiers leave to the lane.
-bool LaneBacklogTooLong(const State& state, const Waiting& waiting) {
+bool LaneBacklogTooLong(const State& state, const WaitingRequest& waiting) {
   const LaneKey lane{waiting.request.tier, waiting.pool};
-  const double ahead = state.queue.WorkAhead(lane, waiting.workspace,
-                                             waiting.weight, waiting.order_at);
+  const double ahead = state.queue.WorkAhead(
+      lane, waiting.workspace, waiting.weight, waiting.order_time);
   const double left = absl::ToDoubleSeconds(waiting.latest_start - state.now);
   return ahead > left * LaneDrainPerSecond(state, lane);
 }
 
 // Returns whether the backlog makes it miss its first token deadline.
-bool MissesFirstTokenObjective(const State& state, const Waiting& waiting) {
-  if (waiting.request.first_token_due == absl::InfiniteFuture()) return false;
+bool MissesFirstTokenObjective(const State& state,
+                               const WaitingRequest& waiting) {
+  if (waiting.request.first_token_deadline == absl::InfiniteFuture())
+    return false;
   const AdmissionEstimate estimate{
       .wait_seconds = EstimateWaitSeconds(state, waiting),
       .service_seconds = 0,
@@ -114,11 +117,11 @@
 }
 
 // Refuses a request that can't finish in time. Returns whether it was refused.
-bool RefuseIfLate(State& state, const Waiting& waiting) {
+bool RefuseIfLate(State& state, const WaitingRequest& waiting) {
   const Request& request = waiting.request;
   const AdmissionEstimate estimate{
       .wait_seconds = EstimateWaitSeconds(state, waiting),
-      .service_seconds = absl::ToDoubleSeconds(waiting.best_service),
+      .service_seconds = absl::ToDoubleSeconds(waiting.min_service_time),
       .deadline_seconds = absl::ToDoubleSeconds(request.deadline - state.now)};
   if (!DeadlineUnreachable(estimate) && !BacklogTooLong(estimate) &&
       !MissesFirstTokenObjective(state, waiting)) {
@@ -171,7 +174,7 @@
 // Sheds a request if the queue is full. Returns true if `waiting` itself was
 // refused, because no lower tier waits and its own workspace has the most work
 // waiting.
-bool RefuseIfFull(State& state, const Waiting& waiting) {
+bool RefuseIfFull(State& state, const WaitingRequest& waiting) {
   if (state.queue.size() < state.options.max_waiting) return false;
   const Tier lowest = state.queue.LowestTier();
   const Tier tier = waiting.request.tier;
@@ -195,9 +198,9 @@
 
 }  // namespace
 
-Waiting MakeWaitingRequest(const State& state, const Request& request,
-                           WorkspaceIndex workspace, PoolIndex pool) {
-  Waiting waiting;
+WaitingRequest MakeWaitingRequest(const State& state, const Request& request,
+                                  WorkspaceIndex workspace, PoolIndex pool) {
+  WaitingRequest waiting;
   waiting.request = request;
   waiting.marks =
       request.parts.empty() ? MarksOf(request.prefix) : request.parts;
@@ -212,9 +215,9 @@
     waiting.is_long =
         waiting.output.median > kLongFactor * state.estimator.ServiceMedian();
   }
-  waiting.work = WorkOf(request.prompt_tokens, waiting.output.median);
+  waiting.work = RequestWork(request.prompt_tokens, waiting.output.median);
   // Refusal is based on a short answer, urgency on one of median length.
-  waiting.best_service = absl::Seconds(
+  waiting.min_service_time = absl::Seconds(
       MinServiceSeconds(state, waiting, HopefulOutput(waiting.output)));
   const absl::Duration usual_service =
       absl::Seconds(MinServiceSeconds(state, waiting, waiting.output.median));
@@ -222,9 +225,9 @@
   // idle. Such a request only has its overall deadline; otherwise it would
   // always be refused.
   if (LatestStartForFirstToken(state, waiting) < state.now) {
-    waiting.request.first_token_due = absl::InfiniteFuture();
+    waiting.request.first_token_deadline = absl::InfiniteFuture();
   }
-  waiting.latest_start = std::min(request.deadline - waiting.best_service,
+  waiting.latest_start = std::min(request.deadline - waiting.min_service_time,
                                   LatestStartForFirstToken(state, waiting));
   const absl::Time last_usual_start =
       std::min(request.deadline - usual_service,
@@ -232,8 +235,8 @@
   waiting.urgent_at =
       last_usual_start -
       std::max(kMinUrgentLead, kUrgentLeadFraction * usual_service);
-  waiting.since = state.now;
-  waiting.order_at = OrderTime(waiting, usual_service);
+  waiting.enqueued_at = state.now;
+  waiting.order_time = OrderTime(waiting, usual_service);
   return waiting;
 }
 
@@ -247,7 +250,7 @@
   const PoolIndex pool = state.fleet.FindPool(request.model);
   if (pool == kNoIndex || state.fleet.pool(pool).usable == 0) {
     RefuseRequest(state, request, Code::kNoServer,
-                  state.retry_after_jitter.After(kNoServerRetrySeconds));
+                  state.retry_after_jitter.RetryAfter(kNoServerRetrySeconds));
     return;
   }
 
@@ -256,7 +259,7 @@
   const WorkspaceIndex workspace = state.limits.Number(request.workspace);
   if (RefuseIfOverLimit(state, request, workspace, pool)) return;
 
-  Waiting waiting = MakeWaitingRequest(state, request, workspace, pool);
+  WaitingRequest waiting = MakeWaitingRequest(state, request, workspace, pool);
   RecordActivity(state, waiting);
   if (RefuseIfLate(state, waiting)) return;
   if (RefuseIfFull(state, waiting)) return;
@@ -264,7 +267,7 @@
   AddWaiting(state, std::move(waiting));
 }
 
-void RetryOrRefuse(State& state, Waiting waiting, ServerIndex failed) {
+void RetryOrRefuse(State& state, WaitingRequest waiting, ServerIndex failed) {
   const LaneKey lane{waiting.request.tier, waiting.pool};
   // Refunds the charge of the grant, which was not used.
   state.queue.CorrectCharge(lane, waiting.workspace, waiting.weight,
@@ -284,7 +287,7 @@
 void RefuseExpired(State& state) {
   while (state.queue.NextExpiryTime() <= state.now) {
     const WaitIndex index = state.queue.NextToExpire();
-    const Waiting& waiting = state.queue.Get(index);
+    const WaitingRequest& waiting = state.queue.Get(index);
     const bool passed = waiting.request.deadline <= state.now;
     const LaneKey lane{waiting.request.tier, waiting.pool};
     RefuseWaiting(state, index,
@@ -298,7 +301,7 @@
     if (state.fleet.pool(lane.pool).usable > 0) continue;
     for (const WaitIndex index : state.queue.RequestsInPool(lane.pool)) {
       RefuseWaiting(state, index, Code::kNoServer,
-                    state.retry_after_jitter.After(kNoServerRetrySeconds));
+                    state.retry_after_jitter.RetryAfter(kNoServerRetrySeconds));
     }
   }
 }
--- a/src/schedule/intake.h
+++ b/src/schedule/intake.h
@@ -14,12 +14,12 @@
 
 // Queues a request again that was granted but certainly not sent. Refuses it if
 // the attempts or the retry budget are used up, or no server is usable.
-void RetryOrRefuse(State& state, Waiting waiting, ServerIndex failed);
+void RetryOrRefuse(State& state, WaitingRequest waiting, ServerIndex failed);
 
 // Returns the request with its derived values; `pool` must be the pool of its
 // model.
-Waiting MakeWaitingRequest(const State& state, const Request& request,
-                           WorkspaceIndex workspace, PoolIndex pool);
+WaitingRequest MakeWaitingRequest(const State& state, const Request& request,
+                                  WorkspaceIndex workspace, PoolIndex pool);
 
 // Refuses waiting requests that no server can finish in time any more.
 void RefuseExpired(State& state);
--- a/src/schedule/messages.h
+++ b/src/schedule/messages.h
@@ -104,7 +104,7 @@
   // end of each part, shallow first.
   std::vector<PrefixMark> parts;
   // When its first token must be out to be in time.
-  absl::Time first_token_due = absl::InfiniteFuture();
+  absl::Time first_token_deadline = absl::InfiniteFuture();
   int expected_output_tokens = 0;  // The caller's estimate; 0: none.
   ServerId avoid;                  // It failed there before; empty: none.
   bool operator==(const Request&) const = default;
--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -240,7 +240,7 @@
   DrainRate drain;
   BOOST_TEST(drain.PerSecond(100, At(0)) == 100);
   drain.SetBacklog(true, At(0));
-  for (int i = 1; i <= 300; ++i) drain.Granted(50, At(i * 0.1));
+  for (int i = 1; i <= 300; ++i) drain.RecordGrant(50, At(i * 0.1));
   const double rate = drain.PerSecond(100, At(30));
   BOOST_TEST(rate > 400);
   BOOST_TEST(rate < 520);
@@ -249,12 +249,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(ComeBackTimesAreSpreadAndRepeatable) {
-  ComeBack first(7, absl::Seconds(1));
-  ComeBack second(7, absl::Seconds(1));
+  RetryAfterJitter first(7, absl::Seconds(1));
+  RetryAfterJitter second(7, absl::Seconds(1));
   std::set<absl::Duration> times;
   for (int i = 0; i < 100; ++i) {
-    const absl::Duration time = first.After(10);
-    BOOST_TEST((time == second.After(10)));
+    const absl::Duration time = first.RetryAfter(10);
+    BOOST_TEST((time == second.RetryAfter(10)));
     BOOST_TEST((time >= absl::Seconds(10) && time <= absl::Seconds(15)));
     times.insert(time);
   }
--- a/src/schedule/order.cc
+++ b/src/schedule/order.cc
@@ -16,21 +16,21 @@
 
 }  // namespace
 
-WaitingQueue::Key WaitingQueue::OrderKey(const Waiting& waiting,
+WaitingQueue::Key WaitingQueue::OrderKey(const WaitingRequest& waiting,
                                          WaitIndex index) {
-  return {waiting.order_at, waiting.sequence, index};
+  return {waiting.order_time, waiting.sequence, index};
 }
 
-WaitingQueue::Key WaitingQueue::ExpiryKey(const Waiting& waiting,
+WaitingQueue::Key WaitingQueue::ExpiryKey(const WaitingRequest& waiting,
                                           WaitIndex index) {
   return {waiting.latest_start, waiting.sequence, index};
 }
 
-WaitIndex WaitingQueue::Add(Waiting waiting) {
+WaitIndex WaitingQueue::Add(WaitingRequest waiting) {
   const LaneKey key{waiting.request.tier, waiting.pool};
   const WorkspaceIndex workspace = waiting.workspace;
   const WaitIndex index = waiting_.Add(std::move(waiting));
-  const Waiting& added = waiting_[index];
+  const WaitingRequest& added = waiting_[index];
   if (key.pool >= pool_sizes_.size()) pool_sizes_.resize(key.pool + 1);
   ++pool_sizes_[key.pool];
   Lane& lane = lanes_[key];
@@ -47,8 +47,8 @@
   return index;
 }
 
-Waiting WaitingQueue::Remove(WaitIndex index) {
-  const Waiting& removed = waiting_[index];
+WaitingRequest WaitingQueue::Remove(WaitIndex index) {
+  const WaitingRequest& removed = waiting_[index];
   const LaneKey key{removed.request.tier, removed.pool};
   Lane& lane = lanes_[key];
   Flow& flow = lane.flows[removed.workspace];
@@ -152,7 +152,7 @@
   }
 }
 
-void WaitingQueue::Charge(const Waiting& waiting) {
+void WaitingQueue::Charge(const WaitingRequest& waiting) {
   Lane& lane = lanes_[{waiting.request.tier, waiting.pool}];
   Flow& flow = lane.flows[waiting.workspace];
   lane.virtual_time = std::max(lane.virtual_time, flow.tag);
@@ -226,7 +226,7 @@
 }
 
 double WaitingQueue::WorkAhead(const LaneKey& key, WorkspaceIndex workspace,
-                               double weight, absl::Time order_at) const {
+                               double weight, absl::Time order_time) const {
   const auto found = lanes_.find(key);
   if (found == lanes_.end()) return 0;
   const Lane& lane = found->second;
@@ -241,9 +241,9 @@
   // last key.
   const absl::Time first = largest.begin()->at;
   const absl::Time last = largest.rbegin()->at;
-  double fraction = order_at < first ? 0 : 1;
-  if (order_at >= first && order_at < last) {
-    fraction = absl::FDivDuration(order_at - first, last - first);
+  double fraction = order_time < first ? 0 : 1;
+  if (order_time >= first && order_time < last) {
+    fraction = absl::FDivDuration(order_time - first, last - first);
   }
   const double share = weight / std::max(weight, lane.active_weight);
   return std::min(lane.work, flow.work * fraction / share);
@@ -255,7 +255,7 @@
 }
 
 bool WaitingQueue::IsHead(WaitIndex index) const {
-  const Waiting& waiting = waiting_[index];
+  const WaitingRequest& waiting = waiting_[index];
   std::vector<WaitIndex> heads;
   Heads({waiting.request.tier, waiting.pool}, kMaxHeads, &heads);
   return std::find(heads.begin(), heads.end(), index) != heads.end();
--- a/src/schedule/order.h
+++ b/src/schedule/order.h
@@ -39,7 +39,7 @@
 inline constexpr std::size_t kMaxHeads = 6;
 
 // A request in the queue, with the values derived from it.
-struct Waiting {
+struct WaitingRequest {
   Request request;  // `prefix` and `parts` are replaced by `marks`.
   std::vector<PrefixMark> marks;
   WorkspaceIndex workspace = 0;
@@ -48,13 +48,13 @@
   OutputEstimate output;
   double work = 0;  // In tokens.
   bool is_long = false;
-  absl::Duration best_service;  // On the fastest idle server, short answer.
-  absl::Time latest_start;      // Latest start that meets the deadline.
-  absl::Time order_at;          // Sort key within its workspace.
-  absl::Time urgent_at;         // From then on it may preempt.
-  absl::Time since;             // Time of arrival in the queue.
-  std::uint64_t sequence = 0;   // Order of arrival.
-  int attempts = 0;             // Grants that ended as not sent.
+  absl::Duration min_service_time;  // On the fastest idle server, short answer.
+  absl::Time latest_start;          // Latest start that meets the deadline.
+  absl::Time order_time;            // Sort key within its workspace.
+  absl::Time urgent_at;             // From then on it may preempt.
+  absl::Time enqueued_at;           // Time of arrival in the queue.
+  std::uint64_t sequence = 0;       // Order of arrival.
+  int attempts = 0;                 // Grants that ended as not sent.
   ServerIndex avoid = kNoIndex;
 };
 
@@ -66,9 +66,9 @@
 
 class WaitingQueue {
  public:
-  WaitIndex Add(Waiting waiting);
-  Waiting Remove(WaitIndex index);
-  const Waiting& Get(WaitIndex index) const { return waiting_[index]; }
+  WaitIndex Add(WaitingRequest waiting);
+  WaitingRequest Remove(WaitIndex index);
+  const WaitingRequest& Get(WaitIndex index) const { return waiting_[index]; }
 
   std::size_t size() const { return waiting_.size(); }
   bool empty() const { return size() == 0; }
@@ -86,7 +86,7 @@
 
   // Charges the workspace for `waiting`, which was granted and is already
   // removed.
-  void Charge(const Waiting& waiting);
+  void Charge(const WaitingRequest& waiting);
 
   // Corrects an earlier charge by `tokens`, which is negative if less was used
   // than charged.
@@ -112,9 +112,9 @@
   int PoolSize(PoolIndex pool) const { return pool_sizes_[pool]; }
 
   // Returns the work in the lane that is served before a new request of
-  // `workspace` with sort key `order_at`, if all workspaces stay backlogged.
+  // `workspace` with sort key `order_time`, if all workspaces stay backlogged.
   double WorkAhead(const LaneKey& key, WorkspaceIndex workspace, double weight,
-                   absl::Time order_at) const;
+                   absl::Time order_time) const;
 
   // Returns the earliest `latest_start` of all waiting requests;
   // InfiniteFuture() if the queue is empty.
@@ -164,8 +164,8 @@
     absl::btree_set<std::pair<double, WorkspaceIndex>> idle;
   };
 
-  static Key OrderKey(const Waiting& waiting, WaitIndex index);
-  static Key ExpiryKey(const Waiting& waiting, WaitIndex index);
+  static Key OrderKey(const WaitingRequest& waiting, WaitIndex index);
+  static Key ExpiryKey(const WaitingRequest& waiting, WaitIndex index);
   static void Activate(Lane* lane, WorkspaceIndex workspace, Flow* flow);
   static void Deactivate(Lane* lane, WorkspaceIndex workspace, Flow* flow);
   static void SetTag(Lane* lane, WorkspaceIndex workspace, Flow* flow,
@@ -174,7 +174,7 @@
                       double work);
   static void EvictIdleFlows(Lane* lane);
 
-  Slab<Waiting> waiting_;
+  Slab<WaitingRequest> waiting_;
   std::map<LaneKey, Lane> lanes_;
   std::vector<int> pool_sizes_;
   absl::btree_set<Key> expiry_;
--- a/src/schedule/order_test.cc
+++ b/src/schedule/order_test.cc
@@ -9,13 +9,13 @@
  public:
   WaitIndex Add(int tier, WorkspaceIndex workspace, double work, int start,
                 bool is_long = false) {
-    Waiting waiting;
+    WaitingRequest waiting;
     waiting.request.tier = Tier{tier};
     waiting.workspace = workspace;
     waiting.work = work;
     waiting.is_long = is_long;
     waiting.latest_start = absl::FromUnixSeconds(start);
-    waiting.order_at = waiting.latest_start;
+    waiting.order_time = waiting.latest_start;
     waiting.sequence = sequence_++;
     return queue.Add(std::move(waiting));
   }
@@ -24,7 +24,7 @@
   WorkspaceIndex Next(int tier) {
     std::vector<WaitIndex> heads;
     queue.Heads({Tier{tier}, 0}, 1, &heads);
-    const Waiting waiting = queue.Remove(heads.at(0));
+    const WaitingRequest waiting = queue.Remove(heads.at(0));
     queue.Charge(waiting);
     return waiting.workspace;
   }
--- a/src/schedule/place.cc
+++ b/src/schedule/place.cc
@@ -75,7 +75,7 @@
 
 // What all candidates of one request are judged by.
 struct Placer::Choice {
-  const Waiting& waiting;
+  const WaitingRequest& waiting;
   const Reserves& reserves;
   const Search& search;
   const PrefixCache::Lookup& lookup;
@@ -99,7 +99,8 @@
   }
 };
 
-double Placer::JudgedOutput(const Waiting& waiting, bool contended) const {
+double Placer::JudgedOutput(const WaitingRequest& waiting,
+                            bool contended) const {
   const double median = waiting.output.median;
   const double spread = waiting.output.high - median;
   // A guess must not keep out what would teach better.
@@ -108,11 +109,12 @@
   return contended ? median + kContendedSpread * spread : median;
 }
 
-bool Placer::Patient(const Waiting& waiting, absl::Time now) const {
+bool Placer::Patient(const WaitingRequest& waiting, absl::Time now) const {
   const bool top = waiting.request.tier.rank == 0;
-  const absl::Duration patience = std::min(
-      top ? kTopPatience : kPatience, (waiting.urgent_at - waiting.since) / 2);
-  return now - waiting.since < patience;
+  const absl::Duration patience =
+      std::min(top ? kTopPatience : kPatience,
+               (waiting.urgent_at - waiting.enqueued_at) / 2);
+  return now - waiting.enqueued_at < patience;
 }
 
 double Placer::BestCached(const PrefixCache::Lookup& lookup,
@@ -129,7 +131,7 @@
   return best;
 }
 
-void Placer::Collect(const Waiting& waiting, const Search& search,
+void Placer::Collect(const WaitingRequest& waiting, const Search& search,
                      const PrefixCache::Lookup& lookup) {
   if (search.only != nullptr) {
     candidates_ = *search.only;
@@ -144,7 +146,7 @@
   lookup.DeepestHolders(kHolders, &candidates_);
 }
 
-Placement Placer::Place(const Waiting& waiting, const Reserves& reserves,
+Placement Placer::Place(const WaitingRequest& waiting, const Reserves& reserves,
                         const Search& search, absl::Time now) {
   Placement best;
   if (fleet_.pool(waiting.pool).open.empty()) return best;
@@ -159,7 +161,7 @@
       .now = now,
       .seconds_left = absl::ToDoubleSeconds(waiting.request.deadline - now),
       .first_token_left =
-          absl::ToDoubleSeconds(waiting.request.first_token_due - now),
+          absl::ToDoubleSeconds(waiting.request.first_token_deadline - now),
       .output = JudgedOutput(waiting, search.contended),
       .hopeful = search.hopeful,
       .patient = patient,
@@ -175,7 +177,7 @@
 void Placer::Consider(ServerIndex index, const Choice& choice, Placement* best,
                       double* best_score) const {
   const Server& server = fleet_.at(index);
-  const Waiting& waiting = choice.waiting;
+  const WaitingRequest& waiting = choice.waiting;
   const auto& pools = server.pools;
   if (std::find(pools.begin(), pools.end(), waiting.pool) == pools.end()) {
     return;  // Holds the prefix for another model.
--- a/src/schedule/place.h
+++ b/src/schedule/place.h
@@ -66,17 +66,17 @@
          const PrefixCache& cache)
       : weights_(weights), fleet_(fleet), power_(power), cache_(cache) {}
 
-  Placement Place(const Waiting& waiting, const Reserves& reserves,
+  Placement Place(const WaitingRequest& waiting, const Reserves& reserves,
                   const Search& search, absl::Time now);
 
  private:
   struct Choice;
 
-  bool Patient(const Waiting& waiting, absl::Time now) const;
+  bool Patient(const WaitingRequest& waiting, absl::Time now) const;
   double BestCached(const PrefixCache::Lookup& lookup, absl::Time now) const;
   // Tokens of the answer by which lateness is judged.
-  double JudgedOutput(const Waiting& waiting, bool contended) const;
-  void Collect(const Waiting& waiting, const Search& search,
+  double JudgedOutput(const WaitingRequest& waiting, bool contended) const;
+  void Collect(const WaitingRequest& waiting, const Search& search,
                const PrefixCache::Lookup& lookup);
   void Consider(ServerIndex server, const Choice& choice, Placement* best,
                 double* best_score) const;
--- a/src/schedule/preempt.cc
+++ b/src/schedule/preempt.cc
@@ -70,7 +70,7 @@
 }
 
 void PreemptFor(State& state, WaitIndex index, bool for_power) {
-  const Waiting& waiting = state.queue.Get(index);
+  const WaitingRequest& waiting = state.queue.Get(index);
   if (!state.options.preempts || state.now < waiting.urgent_at) return;
   if (state.pending_preemptions >= kMaxPendingPreemptions) return;
   const RunIndex victim = state.running.FirstVictim(
--- a/src/schedule/refuse.cc
+++ b/src/schedule/refuse.cc
@@ -25,7 +25,7 @@
   backlog_ = backlog;
 }
 
-void DrainRate::Granted(double work, absl::Time now) {
+void DrainRate::RecordGrant(double work, absl::Time now) {
   if (!backlog_ || backlog_since_ == now) return;
   Advance(now);
   granted_work_ += work;
@@ -59,7 +59,7 @@
              estimate.deadline_seconds * kWaitTolerance;
 }
 
-absl::Duration ComeBack::After(double seconds) {
+absl::Duration RetryAfterJitter::RetryAfter(double seconds) {
   // 53 random bits make a double in [0, 1).
   const double uniform = static_cast<double>(random_() >> 11) * 0x1.0p-53;
   const double base = std::clamp(seconds, min_seconds_, kMaxRetryAfterSeconds);
--- a/src/schedule/refuse.h
+++ b/src/schedule/refuse.h
@@ -50,7 +50,7 @@
   void SetBacklog(bool backlog, absl::Time now);
   // Records granted work. Work granted without a backlog is ignored, as it says
   // nothing about the rate.
-  void Granted(double work, absl::Time now);
+  void RecordGrant(double work, absl::Time now);
   // Returns the rate in work per second; `capacity` is the initial value.
   double PerSecond(double capacity, absl::Time now) const;
 
@@ -82,14 +82,14 @@
 // Adds jitter to retry times, so that refused callers don't all retry at once.
 // Unlike the standard library's distributions, the same seed gives the same
 // times on every platform.
-class ComeBack {
+class RetryAfterJitter {
  public:
   // No retry time is below `min_retry_after`.
-  ComeBack(std::uint64_t seed, absl::Duration min_retry_after)
+  RetryAfterJitter(std::uint64_t seed, absl::Duration min_retry_after)
       : random_(seed), min_seconds_(absl::ToDoubleSeconds(min_retry_after)) {}
 
   // Returns the retry time for a backlog of `seconds`.
-  absl::Duration After(double seconds);
+  absl::Duration RetryAfter(double seconds);
 
  private:
   std::mt19937_64 random_;
--- a/src/schedule/running.h
+++ b/src/schedule/running.h
@@ -21,7 +21,7 @@
 namespace gentianlb::schedule {
 
 struct Running {
-  Waiting origin;  // As it waited; its marks serve a second try.
+  WaitingRequest origin;  // As it waited; its marks serve a second try.
   ServerIndex server = kNoIndex;
   Demand demand;
   double cached_tokens = 0;  // As predicted.
--- a/src/schedule/state.cc
+++ b/src/schedule/state.cc
@@ -27,7 +27,7 @@
   state.decisions->push_back(std::move(decision));
 }
 
-void AddWaiting(State& state, Waiting waiting) {
+void AddWaiting(State& state, WaitingRequest waiting) {
   state.limits.Waits(waiting.workspace, waiting.request);
   const LaneKey lane{waiting.request.tier, waiting.pool};
   const RequestId id = waiting.request.id;
@@ -40,8 +40,8 @@
   if (state.queue.IsHead(index)) state.changes.lanes.push_back(lane);
 }
 
-Waiting RemoveWaiting(State& state, WaitIndex index) {
-  Waiting waiting = state.queue.Remove(index);
+WaitingRequest RemoveWaiting(State& state, WaitIndex index) {
+  WaitingRequest waiting = state.queue.Remove(index);
   state.waiting_by_id.erase(waiting.request.id);
   state.limits.WaitsNoMore(waiting.workspace, waiting.request);
   if (state.queue.PoolSize(waiting.pool) == 0) {
@@ -58,7 +58,7 @@
                    absl::Duration retry_after) {
   // A head may have blocked lower tiers.
   state.changes.all |= state.queue.IsHead(index);
-  const Waiting waiting = RemoveWaiting(state, index);
+  const WaitingRequest waiting = RemoveWaiting(state, index);
   RefuseRequest(state, waiting.request, code, retry_after);
 }
 
@@ -98,8 +98,8 @@
 absl::Duration LaneRetryAfter(State& state, const LaneKey& lane) {
   const double ahead = state.queue.WorkInHigherTiers(lane.tier, lane.pool) +
                        state.queue.LaneWork(lane);
-  return state.retry_after_jitter.After(ahead /
-                                        DrainPerSecond(state, lane.pool));
+  return state.retry_after_jitter.RetryAfter(ahead /
+                                             DrainPerSecond(state, lane.pool));
 }
 
 void OnCapacityFreed(State& state, ServerIndex server) {
--- a/src/schedule/state.h
+++ b/src/schedule/state.h
@@ -68,7 +68,7 @@
   WorkspaceLimits limits;
   OutputEstimator estimator;
   RetryBudget retries{RetryOptions{}};
-  ComeBack retry_after_jitter;
+  RetryAfterJitter retry_after_jitter;
   std::vector<DrainRate> pool_drains;  // Indexed by pool.
   std::map<LaneKey, DrainRate> lane_drains;
 
@@ -90,8 +90,8 @@
 // Appends a decision and counts it.
 void Emit(State& state, Decision decision);
 
-void AddWaiting(State& state, Waiting waiting);
-Waiting RemoveWaiting(State& state, WaitIndex index);
+void AddWaiting(State& state, WaitingRequest waiting);
+WaitingRequest RemoveWaiting(State& state, WaitIndex index);
 
 // Removes a waiting request from the queue and refuses it.
 void RefuseWaiting(State& state, WaitIndex index, Code code,
--- a/src/schedule/work.h
+++ b/src/schedule/work.h
@@ -15,14 +15,14 @@
 
 // Returns the work of a request. A call of a plain service has no tokens and
 // counts as 1.
-inline double WorkOf(int prompt_tokens, double output_tokens) {
+inline double RequestWork(int prompt_tokens, double output_tokens) {
   return std::max(1.0, kPromptTokenWork * prompt_tokens + output_tokens);
 }
 
 // Returns the work per second that a server does with a full window, according
 // to its configuration: the initial value of the drain rate. A stream in a full
 // batch runs at about half the speed of a single stream.
-inline double CapacityOf(const ServerSpec& spec) {
+inline double ServerCapacity(const ServerSpec& spec) {
   constexpr double kFullBatchSpeedFraction = 0.5;
   constexpr double kPlainCallsPerStreamSecond = 20;
   const double stream =
