--- a/src/schedule/messages.h
+++ b/src/schedule/messages.h
@@ -1,7 +1,7 @@
-// What the decision modules are told and what they answer. A Dispatcher orders
-// the waiting requests of one service in one availability zone. It knows no
-// network, thread or clock: events go in with the time, decisions come out, and
-// the same events give the same decisions.
+// Events and decisions of a Dispatcher, which orders the waiting requests of
+// one service in one availability zone. A Dispatcher uses no network, thread or
+// clock: it receives events with the current time and returns decisions, and
+// the same events always give the same decisions.
 
 #ifndef GENTIANLB_SCHEDULE_MESSAGES_H_
 #define GENTIANLB_SCHEDULE_MESSAGES_H_
@@ -19,18 +19,18 @@
 
 namespace gentianlb::schedule {
 
-// Electric draw of one backend server, as operators configure it.
+// Power consumption of one backend server, as configured by operators.
 struct PowerModel {
   double idle_watts = 0;                // While it is on.
-  double watts_per_stream = 0;          // For each running stream.
-  double joules_per_prefill_token = 0;  // Spent while a prompt is computed.
+  double watts_per_stream = 0;          // Per running stream.
+  double joules_per_prefill_token = 0;  // For computing a prompt.
   auto operator<=>(const PowerModel&) const = default;
 };
 
 enum class ServerRole { kMixed, kPrefill, kDecode };
 
-// A backend server as the configuration describes it. The speeds are a first
-// guess; what the server's answers show replaces them.
+// A backend server according to the configuration. The speeds are initial
+// values that measured speeds replace.
 struct ServerSpec {
   ServerId id;
   int generation = 1;
@@ -38,23 +38,23 @@
   std::vector<ModelId> models;  // Loaded models, adapters and versions.
   double prefill_tokens_per_second = 0;
   double decode_tokens_per_second = 0;  // Of one stream on an idle server.
-  // The speeds are no more than a guess, and the first answers replace them.
+  // The speeds are mere estimates, which the first responses replace.
   bool speeds_estimated = false;
-  int max_streams = 0;            // Bound of the window.
+  int max_streams = 0;            // Upper bound of the window.
   std::int64_t kv_tokens = 0;     // Memory for running streams.
-  std::int64_t cache_tokens = 0;  // Memory for kept prompt prefixes.
+  std::int64_t cache_tokens = 0;  // Memory for cached prompt prefixes.
   PowerModel power;
-  // 1 or more: how much longer than it does this server seems to take, when one
-  // is chosen. Many dispatchers that see the same servers would else all choose
-  // the same one before they hear of each other.
+  // Factor on the server's predicted cost when a server is chosen; at least 1.
+  // Different factors keep dispatchers that see the same servers from all
+  // choosing the same one before they receive each other's updates.
   double cost_factor = 1;
-  // How many other dispatchers are likely to choose this server whenever this
-  // one does, and are heard of too late.
+  // Number of peer dispatchers that are likely to choose this server at the
+  // same time as this one, before their updates arrive.
   double expected_competitors = 0;
   bool operator==(const ServerSpec&) const = default;
 };
 
-// A workspace's share and limits.
+// Share and limits of a workspace.
 struct WorkspaceSpec {
   WorkspaceId id;
   double weight = 1;
@@ -65,7 +65,8 @@
   bool operator==(const WorkspaceSpec&) const = default;
 };
 
-// What a deployment weighs more; both are at least 0 and one is positive.
+// Weights of a deployment's two objectives. Both are at least 0 and one is
+// positive.
 struct Weights {
   double goodput = 1;
   double wasted_prefill = 1;
@@ -74,20 +75,20 @@
 
 // --- Events -----------------------------------------------------------------
 
-// One block of a prompt, as the engines hash it: the hash of the block and of
-// all before it. Blocks have kPrefixBlockTokens tokens.
+// Hash of one block of a prompt and of all blocks before it, as computed by the
+// engines. A block has kPrefixBlockTokens tokens.
 using PrefixHash = std::uint64_t;
 inline constexpr int kPrefixBlockTokens = 64;
 
-// One of the depths at which a prompt's beginning is looked up in the picture
-// of a cache: the hash of all up to it, and how many tokens that is.
+// A depth at which a prompt's prefix is looked up in the cache tracker: the
+// hash of the prefix, and its length in tokens.
 struct PrefixMark {
   PrefixHash hash = 0;
   int tokens = 0;
   auto operator<=>(const PrefixMark&) const = default;
 };
 
-// A request as its entry host describes it; the body stays there.
+// A request as described by its entry host, which keeps the body.
 struct Request {
   RequestId id;
   EntryHostId host;
@@ -97,16 +98,16 @@
   absl::Time arrival;
   absl::Time deadline;
   int prompt_tokens = 0;
-  int max_output_tokens = 0;  // The caller's own bound; 0: none.
+  int max_output_tokens = 0;  // The caller's limit; 0: none.
   std::int64_t body_bytes = 0;
-  std::vector<PrefixHash> prefix;  // Empty when not known.
-  // In place of `prefix`, from callers that cut their prompts themselves: the
-  // end of each part, shallow first.
+  std::vector<PrefixHash> prefix;  // Empty if unknown.
+  // Used instead of `prefix` by callers that split their prompts themselves:
+  // the end of each part, in ascending order.
   std::vector<PrefixMark> parts;
-  // When its first token must be out to be in time.
+  // Time by which the first token must be out to meet the objective.
   absl::Time first_token_deadline = absl::InfiniteFuture();
   int expected_output_tokens = 0;  // The caller's estimate; 0: none.
-  ServerId avoid;                  // It failed there before; empty: none.
+  ServerId avoid;                  // Server of a failed attempt; empty: none.
   bool operator==(const Request&) const = default;
 };
 
@@ -114,21 +115,24 @@
   Request request;
 };
 
-// The caller closed its connection, or its entry host is gone.
+// The caller closed its connection, or its entry host is unavailable.
 struct CallerDisconnected {
   RequestId id;
 };
 
-// Sent by an entry host to a new dispatcher, for what is already on a server.
+// Reports a request that already runs on a server. Entry hosts send it to a new
+// dispatcher.
 struct RequestRunning {
   Request request;
   ServerId server;
   int output_tokens = 0;
-  // Another dispatcher has granted it just now: its times teach this one too.
+  // Another dispatcher granted it just now, so its response times are valid
+  // samples for this dispatcher too.
   bool just_sent = false;
 };
 
-// Tokens have come back so far; sent for the first token and then now and then.
+// Reports the number of tokens streamed so far. Sent for the first token, then
+// from time to time.
 struct TokensStreamed {
   RequestId id;
   int output_tokens = 0;
@@ -136,9 +140,9 @@
 
 enum class RequestOutcome {
   kComplete,
-  kFailed,     // The server broke off, or answered an error.
-  kNotSent,    // Certain: the server never received it.
-  kShed,       // Certain: the server had no room and has not run it.
+  kFailed,     // The server aborted the response or returned an error.
+  kNotSent,    // The server certainly didn't receive it.
+  kShed,       // The server certainly didn't run it, for lack of capacity.
   kCancelled,  // After a Cancel decision or a CallerDisconnected.
 };
 
@@ -146,10 +150,10 @@
   RequestId id;
   RequestOutcome kind = RequestOutcome::kComplete;
   int output_tokens = 0;
-  int cached_prompt_tokens = 0;  // As the engine reports; 0 if it doesn't.
+  int cached_prompt_tokens = 0;  // As reported by the engine; 0 if it isn't.
 };
 
-// A server's own report of its load; old when it arrives.
+// Load reported by a server when polled; outdated on arrival.
 struct LoadReported {
   ServerId server;
   absl::Time measured;
@@ -158,16 +162,16 @@
   std::int64_t kv_used_tokens = 0;
 };
 
-// A server's load as told with one of its answers: as it is now but for the
-// way back.
+// Load reported by a server with one of its responses; current but for the
+// transit time.
 struct ResponseLoadReported {
   ServerId server;
   int running = 0;
   int queued = 0;
 };
 
-// Prefix blocks came into a server's cache or left it. `sequence` counts a
-// server's events; a gap means that some were lost.
+// Prefix blocks were added to a server's cache or removed from it. `sequence`
+// counts the server's events; a gap means that events were lost.
 struct CacheChanged {
   ServerId server;
   std::uint64_t sequence = 0;
@@ -176,14 +180,14 @@
   bool cleared = false;
 };
 
-// What other dispatchers have running on a server, as they tell it themselves
+// Number of requests that peer dispatchers run on a server, as they publish it
 // several times a second.
 struct PeerLoadReported {
   ServerId server;
   int running = 0;
 };
 
-// How many times slower than expected a server is, as others have learnt it.
+// Slowdown of a server as measured by peers: measured time over expected time.
 struct PeerSlowdownReported {
   ServerId server;
   double prefill = 1;
@@ -197,8 +201,8 @@
   ServerHealth health = ServerHealth::kAlive;
 };
 
-// The servers of this service and zone, after a change of configuration. Those
-// that are missing take nothing new; what runs on them goes on.
+// The servers of this service and zone, after a change of the configuration.
+// Servers that are missing get no new requests; running requests go on.
 struct ServersConfigured {
   std::vector<ServerSpec> servers;
 };
@@ -207,12 +211,12 @@
   std::vector<WorkspaceSpec> workspaces;
 };
 
-// What this dispatcher's servers may draw together from now on.
+// Power that this dispatcher's servers may consume together from now on.
 struct PowerShareChanged {
   double watts = 0;
 };
 
-// Nothing happened but that time passed.
+// No event but the passing of time.
 struct TimePassed {};
 
 using Event =
@@ -232,7 +236,7 @@
   bool operator==(const Grant&) const = default;
 };
 
-// Final: the request was not run. The caller may come back after
+// Final refusal of a request that was not run. The caller may retry after
 // `retry_after`.
 struct Refuse {
   RequestId id;
@@ -242,7 +246,7 @@
   bool operator==(const Refuse&) const = default;
 };
 
-// Stops a running request on its server; RequestFinished follows.
+// Cancels a running request; RequestFinished follows.
 struct Cancel {
   RequestId id;
   EntryHostId host;
@@ -253,15 +257,15 @@
 
 using Decision = std::variant<Grant, Refuse, Cancel>;
 
-// Anything that can be driven by events: the product's Dispatcher and, in the
-// replay, its baselines.
+// A policy driven by events: Dispatcher, or one of the replay's baselines.
 template <typename P>
 concept DispatchPolicy = requires(P policy, const Event& event, absl::Time now,
                                   std::vector<Decision>* decisions,
                                   const P& fixed) {
-  // Appends the decisions that `event` leads to, in order.
+  // Appends the decisions on `event`, in order.
   policy.Handle(event, now, decisions);
-  // When TimePassed is due at the latest; InfiniteFuture() if never.
+  // Returns the latest time at which TimePassed is due; InfiniteFuture() if
+  // never.
   { fixed.NextWakeup() } -> std::same_as<absl::Time>;
 };
 
