--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -212,8 +212,7 @@
   // Once it is missed, or the first event is out, only the deadline counts.
   const absl::Time due =
       exchange.arrival + kObjectivePart * exchange.route->objective;
-  if (!exchange.answering && due > clock_())
-    described.first_token_deadline = due;
+  if (!exchange.answering && due > clock_()) described.first_token_due = due;
   const auto& prompt = exchange.request->prompt;
   if (!exchange.service->engine || !prompt) return described;
   described.model = prompt->model;
--- a/src/gateway/group_client.cc
+++ b/src/gateway/group_client.cc
@@ -31,9 +31,8 @@
 constexpr absl::Duration kOpenPeriod = absl::Milliseconds(500);
 
 absl::Duration AnswerTime(const schedule::Request& request, absl::Time now) {
-  if (request.first_token_deadline == absl::InfiniteFuture())
-    return kLongestAnswer;
-  return std::clamp((request.first_token_deadline - now) * kAnswerPart,
+  if (request.first_token_due == absl::InfiniteFuture()) return kLongestAnswer;
+  return std::clamp((request.first_token_due - now) * kAnswerPart,
                     kShortestAnswer, kLongestAnswer);
 }
 
--- a/src/gateway/group_messages.cc
+++ b/src/gateway/group_messages.cc
@@ -61,7 +61,7 @@
             static_cast<std::int32_t>(request.body_bytes));
     PutTime(request.arrival);
     PutTime(request.deadline);
-    PutTime(request.first_token_deadline);
+    PutTime(request.first_token_due);
     WriteList(writer_, request.parts, [&](const schedule::PrefixMark& mark) {
       writer_(mark.hash, static_cast<std::int32_t>(mark.tokens));
     });
@@ -174,7 +174,7 @@
     GetNumber<std::int32_t>(&request->body_bytes);
     GetTime(&request->arrival);
     GetTime(&request->deadline);
-    GetTime(&request->first_token_deadline);
+    GetTime(&request->first_token_due);
     ReadList(reader_, &request->parts, [&](schedule::PrefixMark& mark) {
       reader_(mark.hash);
       GetNumber<std::int32_t>(&mark.tokens);
--- a/src/gateway/group_site_test.h
+++ b/src/gateway/group_site_test.h
@@ -111,7 +111,7 @@
     request.tier = Tier{rank};
     request.arrival = now;
     request.deadline = now + deadline;
-    request.first_token_deadline = now + kObjective;
+    request.first_token_due = now + kObjective;
     request.prompt_tokens = 100;
     request.max_output_tokens = 50;
     Host& at = hosts.at(host);
--- a/src/gateway/groups_test.cc
+++ b/src/gateway/groups_test.cc
@@ -116,7 +116,7 @@
   request.tier = Tier{18};
   request.arrival = now - absl::Milliseconds(5);
   request.deadline = now + absl::Seconds(5);
-  request.first_token_deadline = now + absl::Milliseconds(360);
+  request.first_token_due = now + absl::Milliseconds(360);
   request.prompt_tokens = 2890;
   request.max_output_tokens = 90;
   request.expected_output_tokens = 50;
@@ -154,8 +154,8 @@
   BOOST_TEST(back->from == Name(1));
   BOOST_REQUIRE(back->events.size() == 6u);
   schedule::Request expected = SampleRequest();
-  for (absl::Time* time : {&expected.arrival, &expected.deadline,
-                           &expected.first_token_deadline}) {
+  for (absl::Time* time :
+       {&expected.arrival, &expected.deadline, &expected.first_token_due}) {
     *time += absl::Hours(9);
   }
   const auto& arrived =
--- a/src/schedule/dispatcher_test.cc
+++ b/src/schedule/dispatcher_test.cc
@@ -424,7 +424,7 @@
   for (int i = 0; i < 8; ++i) {
     Request request = site.MakeRequest("draft", 0, absl::Minutes(5), 10, 1000);
     request.expected_output_tokens = 1000;
-    request.first_token_deadline = site.now + absl::Seconds(2);
+    request.first_token_due = site.now + absl::Seconds(2);
     site.Deliver(RequestArrived{request});
     drafts.push_back(request.id);
   }
@@ -449,7 +449,7 @@
                            is_long ? 500 : 10);
       request.workspace = WorkspaceId("one");
       request.expected_output_tokens = is_long ? 500 : 10;
-      request.first_token_deadline = site.now + absl::Seconds(2);
+      request.first_token_due = site.now + absl::Seconds(2);
       site.requests[request.id].workspace =
           WorkspaceId(is_long ? "draft" : "note");
       site.Deliver(RequestArrived{request});
@@ -491,7 +491,7 @@
   const auto send = [&](int tier) {
     Request request =
         site.MakeRequest("w", tier, absl::Seconds(6), kPrompt, kOutput);
-    request.first_token_deadline = site.now + absl::Seconds(1);
+    request.first_token_due = site.now + absl::Seconds(1);
     site.requests[request.id] = request;
     site.Deliver(RequestArrived{request});
     return request.id;
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -303,7 +303,7 @@
   reserves.streams = std::min(reserves.streams, kMaxStreamReserve);
   reserves.power = std::min(reserves.power, kMaxPowerReserve);
   const bool bounded =
-      waiting.request.first_token_deadline != absl::InfiniteFuture();
+      waiting.request.first_token_due != absl::InfiniteFuture();
   if (!waiting.is_long || bounded) return reserves;
   for (const auto& [tier, activity] : state.activity) {
     if (tier > rank) break;
--- a/src/schedule/intake.cc
+++ b/src/schedule/intake.cc
@@ -57,7 +57,7 @@
 // deadline.
 absl::Time LatestStartForFirstToken(const State& state,
                                     const WaitingRequest& waiting) {
-  const absl::Time deadline = waiting.request.first_token_deadline;
+  const absl::Time deadline = waiting.request.first_token_due;
   if (deadline == absl::InfiniteFuture()) return deadline;
   return deadline -
          absl::Seconds(MinServiceSeconds(state, waiting, /*output=*/0));
@@ -74,7 +74,7 @@
                      absl::Duration usual_service) {
   // Large enough that length outweighs the time already waited.
   constexpr double kLengthWeight = 10;
-  if (waiting.request.first_token_deadline == absl::InfiniteFuture()) {
+  if (waiting.request.first_token_due == absl::InfiniteFuture()) {
     return waiting.latest_start;
   }
   return waiting.enqueued_at + kLengthWeight * usual_service;
@@ -105,8 +105,7 @@
 // Returns whether the backlog makes it miss its first token deadline.
 bool MissesFirstTokenObjective(const State& state,
                                const WaitingRequest& waiting) {
-  if (waiting.request.first_token_deadline == absl::InfiniteFuture())
-    return false;
+  if (waiting.request.first_token_due == absl::InfiniteFuture()) return false;
   const AdmissionEstimate estimate{
       .wait_seconds = EstimateWaitSeconds(state, waiting),
       .service_seconds = 0,
@@ -225,7 +224,7 @@
   // idle. Such a request only has its overall deadline; otherwise it would
   // always be refused.
   if (LatestStartForFirstToken(state, waiting) < state.now) {
-    waiting.request.first_token_deadline = absl::InfiniteFuture();
+    waiting.request.first_token_due = absl::InfiniteFuture();
   }
   waiting.latest_start = std::min(request.deadline - waiting.min_service_time,
                                   LatestStartForFirstToken(state, waiting));
--- a/src/schedule/messages.h
+++ b/src/schedule/messages.h
@@ -105,7 +105,7 @@
   // the end of each part, in ascending order.
   std::vector<PrefixMark> parts;
   // Time by which the first token must be out to meet the objective.
-  absl::Time first_token_deadline = absl::InfiniteFuture();
+  absl::Time first_token_due = absl::InfiniteFuture();
   int expected_output_tokens = 0;  // The caller's estimate; 0: none.
   ServerId avoid;                  // Server of a failed attempt; empty: none.
   bool operator==(const Request&) const = default;
--- a/src/schedule/place.cc
+++ b/src/schedule/place.cc
@@ -161,7 +161,7 @@
       .now = now,
       .seconds_left = absl::ToDoubleSeconds(waiting.request.deadline - now),
       .first_token_left =
-          absl::ToDoubleSeconds(waiting.request.first_token_deadline - now),
+          absl::ToDoubleSeconds(waiting.request.first_token_due - now),
       .output = JudgedOutput(waiting, search.contended),
       .hopeful = search.hopeful,
       .patient = patient,
