--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -124,13 +124,12 @@
                       event.output_tokens - origin.output.median);
 }
 
-double PrefillTokens(const Running& running, const RequestFinished& event,
+double PrefillTokens(const Running& run, const RequestFinished& event,
                      absl::Time now) {
-  if (event.kind != RequestOutcome::kComplete)
-    return ComputedPrefill(running, now);
-  if (event.cached_prompt_tokens <= 0) return running.demand.prefill_tokens;
+  if (event.kind != RequestOutcome::kComplete) return ComputedPrefill(run, now);
+  if (event.cached_prompt_tokens <= 0) return run.demand.prefill_tokens;
   return std::max(
-      0, running.origin.request.prompt_tokens - event.cached_prompt_tokens);
+      0, run.origin.request.prompt_tokens - event.cached_prompt_tokens);
 }
 
 void CountPrefill(State& state, const Running& running,
--- a/src/schedule/dispatcher.cc
+++ b/src/schedule/dispatcher.cc
@@ -56,7 +56,7 @@
   CancelRunning(state, index, WasteCause::kCallerGone);
 }
 
-// Passes a load event of one server to its method `Update`.
+// Passes a load event to the method `Update` of its server.
 template <auto Update, typename Event>
 void UpdateLoad(State& state, const Event& event) {
   const ServerIndex server = state.fleet.Find(event.server);
@@ -65,6 +65,7 @@
   OnCapacityFreed(state, server);
 }
 
+// Seeds the speed of a server with the slowdown that peers measured.
 void SeedSpeed(State& state, const PeerSlowdownReported& event) {
   const ServerIndex server = state.fleet.Find(event.server);
   if (server == kNoIndex) return;
--- a/src/schedule/dispatcher_property_test.cc
+++ b/src/schedule/dispatcher_property_test.cc
@@ -53,12 +53,12 @@
 }
 
 // How the dispatcher gets the servers' initial speeds.
-enum class Speeds { kConfigured, kGuessed };
+enum class Speeds { kConfigured, kEstimated };
 
 std::uint64_t RunScenario(std::uint64_t seed, Speeds speeds, FakeSite* site) {
   std::mt19937_64 random(seed);
   site->AddServers(4);
-  if (speeds == Speeds::kGuessed) {
+  if (speeds == Speeds::kEstimated) {
     for (ServerSpec& spec : site->specs) spec.speeds_estimated = true;
     site->Deliver(ServersConfigured{site->specs});
   }
@@ -99,7 +99,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(InvariantsHoldWithEstimatedSpeeds) {
-  CheckSeeds(Speeds::kGuessed);
+  CheckSeeds(Speeds::kEstimated);
 }
 
 // Guards against nondeterminism: replays and comparisons of hosts or builds
--- a/src/schedule/dispatcher_test.cc
+++ b/src/schedule/dispatcher_test.cc
@@ -197,7 +197,7 @@
   site.Run(absl::Seconds(5));
   const int batch_running = static_cast<int>(site.dispatcher.running()) - 6;
   BOOST_TEST(batch_running > 2);
-  site.SetShare(330);  // Idle power and six streams.
+  site.SetShare(330);  // Idle power and six streams, but not a seventh.
   site.Run(FakeSite::kStep * 2);
   BOOST_TEST(site.Count(Kind::kCancelled, 2) == batch_running);
   BOOST_TEST(site.Count(Kind::kCancelled, 0) == 0);
@@ -273,7 +273,7 @@
   BOOST_TEST(site.dispatcher.waiting() == 0u);
 }
 
-// A server breaks off every answer. A request that may have reached a server
+// A server aborts every response. A request that may have reached a server
 // must never be sent again, as it could run twice.
 BOOST_AUTO_TEST_CASE(FailedRequestIsNeverRetried) {
   FakeSite site;
@@ -289,7 +289,7 @@
     BOOST_TEST(granted.insert(id).second);
   }
   // It fails at once and looks idle, but must not attract all requests.
-  BOOST_TEST(site.Count(Kind::kBroken, 0) < 10);
+  BOOST_TEST(site.Count(Kind::kFailed, 0) < 10);
 }
 
 // No engine can finish the request before its deadline. It is refused at once,
@@ -343,11 +343,11 @@
   };
   const auto [goodput, waste] =
       run_scenario({.goodput = 1, .wasted_prefill = 0.2});
-  const auto [lower_goodput, saved_waste] =
+  const auto [cautious_goodput, cautious_waste] =
       run_scenario({.goodput = 0.2, .wasted_prefill = 1});
-  BOOST_TEST(goodput >= lower_goodput);
-  BOOST_TEST(saved_waste <= waste);
-  BOOST_TEST(saved_waste < 0.02);
+  BOOST_TEST(goodput >= cautious_goodput);
+  BOOST_TEST(cautious_waste <= waste);
+  BOOST_TEST(cautious_waste < 0.02);
 }
 
 // Requests with the same prefix go to the server that has it cached, as long as
--- a/src/schedule/fake_site_test.h
+++ b/src/schedule/fake_site_test.h
@@ -19,7 +19,7 @@
 
 // Outcome of one request as its caller sees it.
 struct CallerOutcome {
-  enum class Kind { kComplete, kRefused, kCancelled, kBroken };
+  enum class Kind { kComplete, kRefused, kCancelled, kFailed };
   Kind kind = Kind::kComplete;
   absl::Time finished_at;
   Code code = Code::kInternal;
@@ -136,8 +136,8 @@
   std::map<RequestId, CallerOutcome> outcomes;
   std::vector<std::pair<RequestId, ServerId>> grants;
   std::map<ServerId, double> speed_factors;  // 0: the server hangs.
-  std::map<ServerId, RequestOutcome>
-      failures;  // Immediate result of grants there.
+  // Servers where every request finishes at once with this outcome.
+  std::map<ServerId, RequestOutcome> failures;
   double share = std::numeric_limits<double>::infinity();
   bool power_exceeded = false;
   bool busy_wakeup = false;
@@ -252,7 +252,7 @@
       const Stream stream = finished_.front();
       finished_.erase(finished_.begin());
       if (stream.result == RequestOutcome::kFailed) {
-        RecordOutcome(stream.id, {.kind = CallerOutcome::Kind::kBroken});
+        RecordOutcome(stream.id, {.kind = CallerOutcome::Kind::kFailed});
       }
       Deliver(RequestFinished{.id = stream.id,
                               .kind = *stream.result,
--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -91,18 +91,16 @@
 
   State& state_;
   Placer placer_;
-  bool all_ = false;
+  bool all_ = false;  // All lanes are affected.
   std::vector<bool> closed_pools_;
   std::vector<ServerIndex> held_;  // Not available to later requests.
   std::vector<WaitIndex> heads_;
   LaneBlock block_;  // Of the current lane.
-  const std::vector<ServerIndex>* changed_servers_ =
-      // If set, only these servers are tried; see Search::only.
-      nullptr;
+  // If set, only these servers are tried.
+  const std::vector<ServerIndex>* changed_servers_ = nullptr;
   bool pool_full_ = false;
-  bool all_too_slow_ =
-      // Whether every request of the lane would be late and some are urgent.
-      false;
+  // Every request of the lane was tried and would be late; some are urgent.
+  bool all_too_slow_ = false;
   bool power_exhausted_ = false;
 };
 
@@ -302,9 +300,9 @@
   }
   reserves.streams = std::min(reserves.streams, kMaxStreamReserve);
   reserves.power = std::min(reserves.power, kMaxPowerReserve);
-  const bool bounded =
+  const bool has_objective =
       waiting.request.first_token_due != absl::InfiniteFuture();
-  if (!waiting.is_long || bounded) return reserves;
+  if (!waiting.is_long || has_objective) return reserves;
   for (const auto& [tier, activity] : state.activity) {
     if (tier > rank) break;
     if (activity.last_short_arrival < since) continue;
--- a/src/schedule/order.h
+++ b/src/schedule/order.h
@@ -58,12 +58,14 @@
   ServerIndex avoid = kNoIndex;
 };
 
+// Identifies the lane of one tier and one pool.
 struct LaneKey {
   Tier tier;
   PoolIndex pool = 0;
   auto operator<=>(const LaneKey&) const = default;
 };
 
+// Holds all waiting requests of a dispatcher in the order described above.
 class WaitingQueue {
  public:
   WaitIndex Add(WaitingRequest waiting);
--- a/src/schedule/refuse.h
+++ b/src/schedule/refuse.h
@@ -35,7 +35,7 @@
  public:
   struct Smoothing {
     double time_constant_seconds;  // Decay of old measurements.
-    double initial_seconds;        // Weight of the initial rate.
+    double initial_seconds;  // Weight of the initial rate, as measuring time.
   };
   // Long compared to the gaps between grants, short compared to an overload or
   // a power drop.
