--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -140,7 +140,7 @@
   Enqueue(exchange, ServerId());
   // Last, since a caller that has left already is told of at once.
   answer->OnGone([this, id] {
-    if (Exchange* left = Find(id)) CallerDisconnected(*left);
+    if (Exchange* left = Find(id)) CallerGone(*left);
   });
 }
 
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -134,7 +134,7 @@
               absl::Duration retry_after);
   void GiveUp(Exchange& exchange, const Error& error);
   void DeadlinePassed(Exchange& exchange);
-  void CallerDisconnected(Exchange& exchange);
+  void CallerGone(Exchange& exchange);
   void Remove(ExchangeId id);
   // Stops what a server does for it and takes it out of the queue.
   void Withdraw(Exchange& exchange);
--- a/src/gateway/forwarder_ending.cc
+++ b/src/gateway/forwarder_ending.cc
@@ -131,7 +131,7 @@
   Refuse(exchange, {Code::kDeadlinePassed, "while it waited"}, kComeBackSoon);
 }
 
-void Forwarder::CallerDisconnected(Exchange& exchange) {
+void Forwarder::CallerGone(Exchange& exchange) {
   LOG(INFO) << "event=caller-gone request=" << exchange.request->id
             << " sendings=" << exchange.sendings
             << " events=" << exchange.events.events()
