--- a/src/schedule/state.h
+++ b/src/schedule/state.h
@@ -90,7 +90,9 @@
 // Appends a decision and counts it.
 void Emit(State& state, Decision decision);
 
+// Adds a request to the queue and updates limits and drain rates.
 void AddWaiting(State& state, WaitingRequest waiting);
+// Removes a request from the queue and returns it; emits no decision.
 WaitingRequest RemoveWaiting(State& state, WaitIndex index);
 
 // Removes a waiting request from the queue and refuses it.
