--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -126,7 +126,7 @@
   bool Resend(Exchange& exchange, std::string_view why);
   // The server has no more to do with the sending that was under way.
   void EndTransfer(Exchange& exchange);
-  void EndAttempt(Exchange& exchange, schedule::EndKind kind);
+  void EndAttempt(Exchange& exchange, schedule::RequestOutcome kind);
 
   // How a request may end.
   void Answer(Exchange& exchange);
--- a/src/gateway/forwarder_sending.cc
+++ b/src/gateway/forwarder_sending.cc
@@ -13,7 +13,7 @@
 namespace gentianlb::gateway {
 namespace {
 
-using schedule::EndKind;
+using schedule::RequestOutcome;
 
 // A server that had no room is one of many; a third that has none either says
 // that they are all full, and each try costs the servers something.
@@ -93,7 +93,7 @@
         use.ungranted = static_cast<std::uint16_t>(
             std::max(0, use.running - groups_->GrantedOn(server.id)));
       }
-      if (const auto pace = queue.dispatcher().PaceOf(server.id)) {
+      if (const auto pace = queue.dispatcher().MeasuredSlowdown(server.id)) {
         use.prefill_slowdown = static_cast<float>(pace->prefill);
         use.decode_slowdown = static_cast<float>(pace->decode);
       }
@@ -112,14 +112,14 @@
       const ServerUse use = found == uses.end() ? ServerUse{} : found->second;
       ServerUse& told = told_elsewhere_[server.id];
       if (told.running != use.running) {
-        Tell(service.id, schedule::LoadElsewhere{server.id, use.running});
+        Tell(service.id, schedule::PeerLoadReported{server.id, use.running});
       }
       const bool paced = use.decode_slowdown > 0 && service.engine;
       if (paced && (told.decode_slowdown != use.decode_slowdown ||
                     told.prefill_slowdown != use.prefill_slowdown)) {
         Tell(service.id,
-             schedule::PaceElsewhere{server.id, use.prefill_slowdown,
-                                     use.decode_slowdown});
+             schedule::PeerSlowdownReported{server.id, use.prefill_slowdown,
+                                            use.decode_slowdown});
       }
       told = use;
     }
@@ -139,8 +139,8 @@
   // Carrying out what follows from it may end this request too.
   const ExchangeId id = exchange.id;
   Tell(exchange.service->id,
-       schedule::LoadAnswered{exchange.attempt.server->id, load->running,
-                              load->waiting});
+       schedule::ResponseLoadReported{exchange.attempt.server->id,
+                                      load->running, load->waiting});
   return Find(id) == nullptr ? http::Reading::kStop : http::Reading::kGoOn;
 }
 
@@ -188,9 +188,9 @@
                  << " server=" << attempt.server->id << " cause=\"" << detail
                  << "\"";
     --exchange.sendings;
-    return Tell(
-        exchange.service->id,
-        schedule::RequestEnded{attempt.dispatch_id, EndKind::kNotSent, 0, 0});
+    return Tell(exchange.service->id,
+                schedule::RequestFinished{attempt.dispatch_id,
+                                          RequestOutcome::kNotSent, 0, 0});
   }
   if (attempt.head_seen && attempt.head.not_run) return Shed(exchange);
   if (end != http::TransferEnd::kComplete) return Failed(exchange, detail);
@@ -201,7 +201,7 @@
   Complete(exchange);
 }
 
-void Forwarder::EndAttempt(Exchange& exchange, EndKind kind) {
+void Forwarder::EndAttempt(Exchange& exchange, RequestOutcome kind) {
   const RequestId dispatch_id = exchange.attempt.dispatch_id;
   if (dispatch_id.empty()) return;
   exchange.attempt.dispatch_id = RequestId();
@@ -212,13 +212,14 @@
         exchange.events.events() * exchange.service->engine->tokens_per_event;
   }
   Tell(exchange.service->id,
-       schedule::RequestEnded{dispatch_id, kind, tokens, 0});
+       schedule::RequestFinished{dispatch_id, kind, tokens, 0});
 }
 
 void Forwarder::Complete(Exchange& exchange) {
   // A server that fails quickly must not pass for a quick one.
   const bool failed = IsServerFailure(exchange.attempt.head.status);
-  EndAttempt(exchange, failed ? EndKind::kBroken : EndKind::kComplete);
+  EndAttempt(exchange,
+             failed ? RequestOutcome::kFailed : RequestOutcome::kComplete);
   Answer(exchange);
 }
 
@@ -232,7 +233,7 @@
             << " wrong_server=" << wrong;
   ++exchange.sheds;
   const ExchangeId id = exchange.id;
-  EndAttempt(exchange, EndKind::kShed);
+  EndAttempt(exchange, RequestOutcome::kShed);
   if (wrong && on_wrong_server_) on_wrong_server_(server);
   if (Find(id) == nullptr) return;
   if (exchange.sheds <= kMostSheds && Resend(exchange, "not run")) return;
@@ -251,7 +252,7 @@
   const bool whole_failure =
       exchange.attempt.head_seen && IsServerFailure(head.status);
   std::string body = std::move(exchange.body);
-  EndAttempt(exchange, EndKind::kBroken);
+  EndAttempt(exchange, RequestOutcome::kFailed);
   const int runs = exchange.sendings - exchange.sheds;
   if (exchange.repeatable() && runs < exchange.route->max_attempts &&
       Resend(exchange, "may have run")) {
--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -99,14 +99,14 @@
 BOOST_AUTO_TEST_CASE(UnreportedPeerGrantsReduceFreeStreams) {
   ServerSpec spec;
   spec.max_streams = 10;
-  spec.alike = 2;
+  spec.expected_competitors = 2;
   Server server(spec);
   server.OnPeerLoad({ServerId("s"), 6}, At(0));
   BOOST_TEST(server.FreeStreams(At(0)) == 4);
   server.OnGrant({}, At(0));
   BOOST_TEST(server.FreeStreams(At(0)) == 1);
   BOOST_TEST(server.FreeStreams(At(1)) == 3);
-  spec.alike = 0;
+  spec.expected_competitors = 0;
   Server alone(spec);
   alone.OnGrant({}, At(0));
   BOOST_TEST(alone.FreeStreams(At(0)) == 9);
@@ -152,7 +152,7 @@
   ServerSpec spec;
   spec.prefill_tokens_per_second = 100000;
   spec.decode_tokens_per_second = 200;
-  spec.speeds_guessed = true;
+  spec.speeds_estimated = true;
   SpeedEstimator speed(spec);
   for (int i = 0; i < 50; ++i) {
     speed.AddFirstTokenSample(0.115, speed.ExpectedFirstToken(600, 1));
@@ -167,7 +167,7 @@
   ServerSpec spec;
   spec.prefill_tokens_per_second = 100000;
   spec.decode_tokens_per_second = 200;
-  spec.speeds_guessed = true;
+  spec.speeds_estimated = true;
   SpeedEstimator speed(spec);
   for (int i = 0; i < 50; ++i) {
     speed.AddFirstTokenSample(0.6 + 0.02, speed.ExpectedFirstToken(20000, 1));
@@ -245,7 +245,7 @@
   DrainRate drain;
   BOOST_TEST(drain.PerSecond(100, At(0)) == 100);
   drain.SetBacklog(true, At(0));
-  for (int i = 1; i <= 300; ++i) drain.Granted(50, At(i * 0.1));
+  for (int i = 1; i <= 300; ++i) drain.RecordGrant(50, At(i * 0.1));
   const double rate = drain.PerSecond(100, At(30));
   BOOST_TEST(rate > 400);
   BOOST_TEST(rate < 520);
@@ -254,12 +254,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(RetryAfterTimesAreSpreadAndReproducible) {
-  ComeBack first(7, absl::Seconds(1));
-  ComeBack second(7, absl::Seconds(1));
+  RetryAfterJitter first(7, absl::Seconds(1));
+  RetryAfterJitter second(7, absl::Seconds(1));
   std::set<absl::Duration> times;
   for (int i = 0; i < 100; ++i) {
-    const absl::Duration time = first.After(10);
-    BOOST_TEST((time == second.After(10)));
+    const absl::Duration time = first.RetryAfter(10);
+    BOOST_TEST((time == second.RetryAfter(10)));
     BOOST_TEST((time >= absl::Seconds(10) && time <= absl::Seconds(15)));
     times.insert(time);
   }
--- a/src/schedule/placer.cc
+++ b/src/schedule/placer.cc
@@ -82,7 +82,7 @@
 
 // The request and the limits that all its candidates are checked against.
 struct Placer::Criteria {
-  const Waiting& waiting;
+  const WaitingRequest& waiting;
   const Reserves& reserves;
   const SearchScope& scope;
   const PrefixCacheTracker::Lookup& lookup;
@@ -107,7 +107,7 @@
   }
 };
 
-double Placer::AssumedOutputTokens(const Waiting& waiting,
+double Placer::AssumedOutputTokens(const WaitingRequest& waiting,
                                    bool contended) const {
   const double median = waiting.output.median;
   const double spread = waiting.output.p90 - median;
@@ -117,12 +117,13 @@
   return contended ? median + kContendedSpread * spread : median;
 }
 
-bool Placer::MayWaitForCache(const Waiting& waiting, absl::Time now) const {
+bool Placer::MayWaitForCache(const WaitingRequest& waiting,
+                             absl::Time now) const {
   const bool top = waiting.request.tier.rank == 0;
   const absl::Duration max_wait =
       std::min(top ? kMaxTopTierCacheWait : kMaxCacheWait,
-               (waiting.urgent_at - waiting.since) / 2);
-  return now - waiting.since < max_wait;
+               (waiting.urgent_at - waiting.enqueued_at) / 2);
+  return now - waiting.enqueued_at < max_wait;
 }
 
 double Placer::BestCached(const PrefixCacheTracker::Lookup& lookup,
@@ -139,7 +140,7 @@
   return best;
 }
 
-void Placer::Collect(const Waiting& waiting, const SearchScope& scope,
+void Placer::Collect(const WaitingRequest& waiting, const SearchScope& scope,
                      const PrefixCacheTracker::Lookup& lookup) {
   if (scope.only_servers != nullptr) {
     candidates_ = *scope.only_servers;
@@ -154,7 +155,7 @@
   lookup.DeepestHolders(kMaxHolders, &candidates_);
 }
 
-Placement Placer::Place(const Waiting& waiting, const Reserves& reserves,
+Placement Placer::Place(const WaitingRequest& waiting, const Reserves& reserves,
                         const SearchScope& scope, absl::Time now) {
   Placement best;
   if (servers_.pool(waiting.pool).open.empty()) return best;
@@ -185,7 +186,7 @@
 void Placer::Consider(ServerIndex index, const Criteria& criteria,
                       Placement* best, double* best_score) const {
   const Server& server = servers_.at(index);
-  const Waiting& waiting = criteria.waiting;
+  const WaitingRequest& waiting = criteria.waiting;
   const auto& pools = server.pools;
   if (std::find(pools.begin(), pools.end(), waiting.pool) == pools.end()) {
     return;  // Has the prefix cached for another model.
@@ -249,7 +250,7 @@
   // is sent to the server.
   const double score =
       probe ? 0
-            : server.spec.reluctance *
+            : server.spec.cost_factor *
                   (weights_.goodput * finish +
                    weights_.wasted_prefill * kUncachedCostFactor * uncached);
   if (best->reason == BlockReason::kNone && score >= *best_score) return;
--- a/src/schedule/placer.h
+++ b/src/schedule/placer.h
@@ -73,7 +73,7 @@
       : weights_(weights), servers_(servers), power_(power), cache_(cache) {}
 
   // Returns the best placement of `waiting`. Changes no state.
-  Placement Place(const Waiting& waiting, const Reserves& reserves,
+  Placement Place(const WaitingRequest& waiting, const Reserves& reserves,
                   const SearchScope& scope, absl::Time now);
 
  private:
@@ -81,15 +81,16 @@
 
   // Returns whether the request may still wait for a server that has its prompt
   // cached.
-  bool MayWaitForCache(const Waiting& waiting, absl::Time now) const;
+  bool MayWaitForCache(const WaitingRequest& waiting, absl::Time now) const;
   // Returns the maximum expected number of cached prompt tokens over the
   // healthy servers that hold the prefix.
   double BestCached(const PrefixCacheTracker::Lookup& lookup,
                     absl::Time now) const;
   // Returns the output tokens to assume when predicting the finish time.
-  double AssumedOutputTokens(const Waiting& waiting, bool contended) const;
+  double AssumedOutputTokens(const WaitingRequest& waiting,
+                             bool contended) const;
   // Fills `candidates_`.
-  void Collect(const Waiting& waiting, const SearchScope& scope,
+  void Collect(const WaitingRequest& waiting, const SearchScope& scope,
                const PrefixCacheTracker::Lookup& lookup);
   // Scores one candidate and updates `best` if it is better or blocked for a
   // different reason.
--- a/src/schedule/running.h
+++ b/src/schedule/running.h
@@ -22,7 +22,7 @@
 
 // A request that was granted and is not known to have finished.
 struct RunningRequest {
-  Waiting origin;  // The queue entry; a retry queues it again.
+  WaitingRequest origin;  // The queue entry; a retry queues it again.
   ServerIndex server = kNoIndex;
   Demand demand;
   double cached_tokens = 0;  // As predicted.
--- a/src/schedule/server.cc
+++ b/src/schedule/server.cc
@@ -41,7 +41,7 @@
   const bool same_speed =
       spec.prefill_tokens_per_second == changed.prefill_tokens_per_second &&
       spec.decode_tokens_per_second == changed.decode_tokens_per_second &&
-      spec.speeds_guessed == changed.speeds_guessed;
+      spec.speeds_estimated == changed.speeds_estimated;
   if (!same_speed) speed = SpeedEstimator(changed);
   window.SetMaxStreams(changed.max_streams);
   spec = changed;
@@ -93,13 +93,13 @@
   peer_streams_ = std::max(0, report.running + report.queued - OwnPeak());
 }
 
-void Server::OnResponseLoad(const LoadAnswered& load, absl::Time now) {
+void Server::OnResponseLoad(const ResponseLoadReported& load, absl::Time now) {
   peer_streams_measured_ = now;
   peer_streams_ = std::max(0, load.running + load.queued - running_);
   peer_batch_streams_ = std::max(0, load.running - running_);
 }
 
-void Server::OnPeerLoad(const LoadElsewhere& load, absl::Time now) {
+void Server::OnPeerLoad(const PeerLoadReported& load, absl::Time now) {
   peer_streams_measured_ = now;
   peer_streams_ = load.running;
   peer_batch_streams_ = load.running;
@@ -116,8 +116,8 @@
 }
 
 int Server::UnreportedStreams(absl::Time now) const {
-  if (spec.alike <= 0) return 0;
-  return static_cast<int>(spec.alike * recent_grants_.At(now));
+  if (spec.expected_competitors <= 0) return 0;
+  return static_cast<int>(spec.expected_competitors * recent_grants_.At(now));
 }
 
 bool Server::PrefillFits(double prefill_tokens) const {
--- a/src/schedule/server.h
+++ b/src/schedule/server.h
@@ -55,9 +55,9 @@
   // Updates the streams of other dispatchers from the server's load report.
   void OnLoadReport(const LoadReported& report, absl::Time now);
   // Updates them from the load sent with a response of the server.
-  void OnResponseLoad(const LoadAnswered& load, absl::Time now);
+  void OnResponseLoad(const ResponseLoadReported& load, absl::Time now);
   // Updates them from what the other dispatchers publish.
-  void OnPeerLoad(const LoadElsewhere& load, absl::Time now);
+  void OnPeerLoad(const PeerLoadReported& load, absl::Time now);
 
   // --- Free capacity ---
   // Returns whether the server can take any request now.
--- a/src/schedule/server_set.cc
+++ b/src/schedule/server_set.cc
@@ -89,7 +89,7 @@
                                          server.spec.prefill_tokens_per_second);
       pool.best_decode_speed = std::max(pool.best_decode_speed,
                                         server.spec.decode_tokens_per_second);
-      pool.capacity += CapacityOf(server.spec);
+      pool.capacity += ServerCapacity(server.spec);
     }
   }
 }
@@ -125,7 +125,7 @@
   // would get no request while other servers have free capacity.
   double key = 0;
   if (open && !probing) {
-    key = server.spec.reluctance * server.FinishSeconds(kTypicalDemand, now);
+    key = server.spec.cost_factor * server.FinishSeconds(kTypicalDemand, now);
   }
   if (open && !probing && KeepsPlace(index, key)) return;
 
--- a/src/schedule/speed_estimator.cc
+++ b/src/schedule/speed_estimator.cc
@@ -111,9 +111,9 @@
                                              kDefaultPrefillSpeed)),
       decode_token_seconds_(
           SecondsPerToken(spec.decode_tokens_per_second, kDefaultDecodeSpeed)),
-      estimated_(spec.speeds_guessed),
-      prefill_(spec.speeds_guessed),
-      decode_(spec.speeds_guessed),
+      estimated_(spec.speeds_estimated),
+      prefill_(spec.speeds_estimated),
+      decode_(spec.speeds_estimated),
       call_seconds_(kInitialCallSeconds) {}
 
 double SpeedEstimator::PrefillSeconds(double tokens) const {
