--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -239,7 +239,7 @@
 // --- Decisions ---------------------------------------------------------------
 
 void Forwarder::Tell(const ServiceId& service, const schedule::Event& event) {
-  if (groups_ != nullptr && groups_->Tell(service, event)) return;
+  if (groups_ != nullptr && groups_->OnEvent(service, event)) return;
   TellOwn(service, event);
 }
 
--- a/src/gateway/group_client.cc
+++ b/src/gateway/group_client.cc
@@ -131,15 +131,15 @@
   open.asked = now;
   open.answer_due = now + AnswerTime(open.request, now);
   const Open asked = open;
-  hooks_.tell_own(
+  hooks_.notify_local_dispatcher(
       asked.service,
       schedule::RequestEnded{event.id, schedule::EndKind::kBroken, 0, 0});
   Send(asked, event);
   return true;
 }
 
-bool GroupClient::Tell(const ServiceId& service, const schedule::Event& event,
-                       absl::Time now) {
+bool GroupClient::OnEvent(const ServiceId& service,
+                          const schedule::Event& event, absl::Time now) {
   if (const auto* arrived = std::get_if<schedule::RequestArrived>(&event)) {
     return Ask(service, arrived->request, now);
   }
@@ -191,7 +191,7 @@
   const schedule::RequestRunning running{open.request, grant.server, 0,
                                          /*just_sent=*/true};
   const ServiceId service = open.service;
-  hooks_.tell_own(service, running);
+  hooks_.notify_local_dispatcher(service, running);
   hooks_.decide(schedule::Grant{grant.id, self_, grant.server});
 }
 
@@ -229,7 +229,8 @@
   const Open open = open_.at(id);
   Erase(id);
   Send(open, schedule::CallerGone{id});
-  hooks_.tell_own(open.service, schedule::RequestArrived{open.request});
+  hooks_.notify_local_dispatcher(open.service,
+                                 schedule::RequestArrived{open.request});
 }
 
 void GroupClient::Tick(absl::Time now) {
--- a/src/gateway/group_client.h
+++ b/src/gateway/group_client.h
@@ -31,7 +31,7 @@
   // What this host's own dispatcher of the service has to be told, so that it
   // knows all that runs here.
   std::function<void(const ServiceId& service, const schedule::Event& event)>
-      tell_own;
+      notify_local_dispatcher;
   // A decision on a request of this host.
   std::function<void(const schedule::Decision& decision)> decide;
 };
@@ -46,8 +46,8 @@
 
   // An event of a request of this host. True when a group's dispatcher deals
   // with it and this host's own must not hear of it.
-  bool Tell(const ServiceId& service, const schedule::Event& event,
-            absl::Time now);
+  bool OnEvent(const ServiceId& service, const schedule::Event& event,
+               absl::Time now);
 
   // What another host's dispatchers, or this one's, answer.
   void Take(const EntryHostId& from, const GroupAnswer& answer, absl::Time now);
--- a/src/gateway/group_link.cc
+++ b/src/gateway/group_link.cc
@@ -28,7 +28,7 @@
                      }
                      Outgoing(host).events.push_back(std::move(item));
                    },
-               .tell_own = hooks_.tell_own,
+               .notify_local_dispatcher = hooks_.notify_local_dispatcher,
                .decide = hooks_.decide}),
       dispatchers_(options,
                    {.answer =
@@ -57,13 +57,14 @@
   Arm();
 }
 
-bool GroupLink::Tell(const ServiceId& service, const schedule::Event& event) {
-  const bool taken = client_.Tell(service, event, clock_());
+bool GroupLink::OnEvent(const ServiceId& service,
+                        const schedule::Event& event) {
+  const bool taken = client_.OnEvent(service, event, clock_());
   Arm();
   return taken;
 }
 
-void GroupLink::Take(std::string_view bytes) {
+void GroupLink::HandleDatagram(std::string_view bytes) {
   const absl::Time now = clock_();
   const auto message = DecodeGroupMessage(bytes, now);
   if (!message) {
@@ -81,7 +82,7 @@
   Arm();
 }
 
-void GroupLink::UsedElsewhere(
+void GroupLink::SetPeerUses(
     const absl::flat_hash_map<NameHash, ServerUse>& uses) {
   dispatchers_.UsedAlone(uses, clock_());
   Tick(clock_());
--- a/src/gateway/group_link.h
+++ b/src/gateway/group_link.h
@@ -20,7 +20,7 @@
 
 struct GroupLinkHooks {
   std::function<void(const ServiceId& service, const schedule::Event& event)>
-      tell_own;
+      notify_local_dispatcher;
   std::function<void(const schedule::Decision& decision)> decide;
   std::function<void(const EntryHostId& host, std::string_view bytes)> send;
   // Calls it once this round of the loop is over.
@@ -40,17 +40,17 @@
   void SetServers(const Service& service,
                   const std::vector<ServerEntry>& servers);
 
-  // As GroupClient::Tell.
-  bool Tell(const ServiceId& service, const schedule::Event& event);
+  // As GroupClient::OnEvent().
+  bool OnEvent(const ServiceId& service, const schedule::Event& event);
 
   // A datagram of another host.
-  void Take(std::string_view bytes);
+  void HandleDatagram(std::string_view bytes);
   // Hosts that may dispatch.
   void SetDispatchers(const std::vector<HostEntry>& hosts) {
     hosts_.Set(hosts);
   }
   // What all other hosts have running.
-  void UsedElsewhere(const absl::flat_hash_map<NameHash, ServerUse>& uses);
+  void SetPeerUses(const absl::flat_hash_map<NameHash, ServerUse>& uses);
   // From now on no group falls to this host.
   void Drain() { hosts_.Drain(); }
 
--- a/src/gateway/group_site_test.h
+++ b/src/gateway/group_site_test.h
@@ -63,7 +63,8 @@
     host.id = EntryHostId(name);
     Host* self = &host;
     GroupLinkHooks hooks;
-    hooks.tell_own = [self](const ServiceId&, const schedule::Event& event) {
+    hooks.notify_local_dispatcher = [self](const ServiceId&,
+                                           const schedule::Event& event) {
       const auto* arrived = std::get_if<schedule::RequestArrived>(&event);
       if (arrived != nullptr) self->alone.insert(arrived->request.id);
     };
@@ -116,15 +117,15 @@
     request.max_output_tokens = 50;
     Host& at = hosts.at(host);
     const bool taken =
-        at.link->Tell(service.id, schedule::RequestArrived{request});
+        at.link->OnEvent(service.id, schedule::RequestArrived{request});
     if (!taken) at.alone.insert(request.id);
     return request.id;
   }
 
   void End(const std::string& host, const RequestId& id,
            schedule::EndKind kind = schedule::EndKind::kComplete) {
-    hosts.at(host).link->Tell(service.id,
-                              schedule::RequestEnded{id, kind, 50, 0});
+    hosts.at(host).link->OnEvent(service.id,
+                                 schedule::RequestEnded{id, kind, 50, 0});
   }
 
   void Pass(absl::Duration span) {
@@ -188,7 +189,7 @@
       if (datagram.due > now || host.frozen) {
         flying_.push_back(std::move(datagram));
       } else {
-        host.link->Take(datagram.bytes);
+        host.link->HandleDatagram(datagram.bytes);
       }
     }
   }
@@ -216,7 +217,7 @@
         if (lately) live.push_back({from, "", "z", 1});
       }
       if (!other.frozen) other.link->SetDispatchers(live);
-      other.link->UsedElsewhere({});
+      other.link->SetPeerUses({});
     }
   }
 
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -59,7 +59,7 @@
       groups_(
           settings.id, OptionsOf(settings).queue, &loop->timers(),
           [loop] { return loop->now(); },
-          {.tell_own =
+          {.notify_local_dispatcher =
                [this](const ServiceId& service, const schedule::Event& event) {
                  forwarder_.TellOwn(service, event);
                },
--- a/src/gateway/host_fleet.cc
+++ b/src/gateway/host_fleet.cc
@@ -68,7 +68,7 @@
     absl::flat_hash_map<NameHash, ServerUse> uses;
     for (const ServerUse& use : others.servers) uses[use.server] = use;
     forwarder_.UsedElsewhere(uses);
-    groups_.UsedElsewhere(uses);
+    groups_.SetPeerUses(uses);
   }
   UseNews(now);
 }
@@ -83,7 +83,7 @@
       return sharing_.Take(*changes);
     }
   } else {
-    return groups_.Take(bytes);
+    return groups_.HandleDatagram(bytes);
   }
   // Cut or foreign. What it held is asked for, as the news tell of it.
   LOG(WARNING) << "event=changes-unreadable bytes=" << bytes.size();
