--- a/src/config/intent.cc
+++ b/src/config/intent.cc
@@ -95,7 +95,7 @@
     }
     FieldReader reader(document_, section, problems_);
     (this->*found->second)(section.name, reader);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadSite(const std::string& /*name*/, FieldReader& reader) {
@@ -107,14 +107,14 @@
     reader.Number("goodput_weight", range, &weights.goodput);
     reader.Number("wasted_prefill_weight", range, &weights.wasted_prefill);
     if (weights.goodput > 0 || weights.wasted_prefill > 0) return;
-    reader.Note("goodput_weight", Code::kContradiction,
-                "and wasted_prefill_weight are both 0");
+    reader.AddProblem("goodput_weight", Code::kContradiction,
+                      "and wasted_prefill_weight are both 0");
   }
 
   void ReadZone(const std::string& name, FieldReader& reader) {
     ZonePowerConfig zone;
     zone.zone = ZoneId(name);
-    reader.Watts("power_floor", settings::kNotNegative, &zone.floor_watts);
+    reader.Watts("power_floor", settings::kNonNegative, &zone.floor_watts);
     configuration_.zones.push_back(std::move(zone));
   }
 
@@ -162,7 +162,7 @@
     reader.Integer("max_waiting", {1, 1000000}, &limits.max_waiting);
     reader.Size("max_waiting_size", {1024, std::int64_t{1} << 40},
                 &limits.max_waiting_bytes);
-    reader.TokenRate("token_rate", settings::kNotNegative,
+    reader.TokenRate("token_rate", settings::kNonNegative,
                      &limits.tokens_per_second);
     reader.Integer("max_concurrent", {0, 1000000}, &limits.max_concurrent);
     configuration_.workspaces.push_back(std::move(workspace));
@@ -206,10 +206,10 @@
   }
 
   void ReadPower(FieldReader& reader, schedule::PowerModel* power) {
-    reader.Watts("idle_power", settings::kNotNegative, &power->idle_watts);
-    reader.Watts("power_per_stream", settings::kNotNegative,
+    reader.Watts("idle_power", settings::kNonNegative, &power->idle_watts);
+    reader.Watts("power_per_stream", settings::kNonNegative,
                  &power->watts_per_stream);
-    reader.Joules("energy_per_prefill_token", settings::kNotNegative,
+    reader.Joules("energy_per_prefill_token", settings::kNonNegative,
                   &power->joules_per_prefill_token);
   }
 
--- a/src/settings/field_reader.cc
+++ b/src/settings/field_reader.cc
@@ -26,14 +26,14 @@
   const Entry* entry = Find(key, need);
   if (entry == nullptr) return;
   *out = entry->value;
-  if (entry->value.empty()) Note(*entry, {Code::kOutOfRange, "is empty"});
+  if (entry->value.empty()) Add(*entry, {Code::kOutOfRange, "is empty"});
 }
 
 void FieldReader::Name(std::string_view key, std::string* out, Need need) {
   const Entry* entry = Find(key, need);
   if (entry == nullptr) return;
   *out = entry->value;
-  if (!IsName(entry->value)) Note(*entry, {Code::kOutOfRange, "is no name"});
+  if (!IsName(entry->value)) Add(*entry, {Code::kOutOfRange, "is no name"});
 }
 
 void FieldReader::Names(std::string_view key, std::vector<std::string>* out,
@@ -43,7 +43,7 @@
   if (entry == nullptr) return;
   for (const std::string& name : *out) {
     if (IsName(name)) continue;
-    Note(*entry, {Code::kOutOfRange, absl::StrCat("'", name, "' is no name")});
+    Add(*entry, {Code::kOutOfRange, absl::StrCat("'", name, "' is no name")});
   }
 }
 
@@ -55,8 +55,8 @@
   absl::flat_hash_set<std::string> seen;
   for (const std::string& item : *out) {
     if (seen.insert(item).second) continue;
-    Note(*entry, {Code::kDuplicateSetting,
-                  absl::StrCat("'", item, "' stands twice in the list")});
+    Add(*entry, {Code::kDuplicateSetting,
+                 absl::StrCat("'", item, "' stands twice in the list")});
   }
 }
 
@@ -115,7 +115,7 @@
   const Entry* entry = Find(key, need);
   if (entry == nullptr) return;
   auto parsed = ParseEndpoint(entry->value);
-  if (!parsed.ok()) return Note(*entry, parsed.error());
+  if (!parsed.ok()) return Add(*entry, parsed.error());
   *out = parsed.value();
 }
 
@@ -123,7 +123,7 @@
   const Entry* entry = Find(key, need);
   if (entry == nullptr) return;
   *out = entry->value;
-  if (!IsIp(entry->value)) Note(*entry, {Code::kBadUnit, "is no IP number"});
+  if (!IsIp(entry->value)) Add(*entry, {Code::kBadUnit, "is no IP number"});
 }
 
 int FieldReader::Line(std::string_view key) const {
@@ -133,17 +133,18 @@
   return section_.line;
 }
 
-void FieldReader::Note(std::string_view key, Code code, std::string_view text) {
+void FieldReader::AddProblem(std::string_view key, Code code,
+                             std::string_view text) {
   problems_->push_back(
       {document_.file, Line(key), code,
        absl::StrCat(std::string(key), " ", std::string(text))});
 }
 
-void FieldReader::Finish() {
+void FieldReader::ReportUnknownKeys() {
   for (const Entry& entry : section_.entries) {
     if (known_.contains(entry.key)) continue;
-    Note(entry, {Code::kUnknownSetting,
-                 absl::StrCat("is not known in [", section_.kind, "]")});
+    Add(entry, {Code::kUnknownSetting,
+                absl::StrCat("is not known in [", section_.kind, "]")});
   }
 }
 
@@ -153,13 +154,13 @@
     if (entry.key == key) return &entry;
   }
   if (need == Need::kRequired) {
-    Note(key, Code::kMissingSetting,
-         absl::StrCat("is missing in [", section_.kind, "]"));
+    AddProblem(key, Code::kMissingSetting,
+               absl::StrCat("is missing in [", section_.kind, "]"));
   }
   return nullptr;
 }
 
-void FieldReader::Note(const Entry& entry, const Error& error) {
+void FieldReader::Add(const Entry& entry, const Error& error) {
   problems_->push_back({document_.file, entry.line, error.code,
                         absl::StrCat(entry.key, " ", error.detail)});
 }
@@ -170,10 +171,10 @@
   const Entry* entry = Find(key, need);
   if (entry == nullptr) return;
   auto parsed = parser(entry->value);
-  if (!parsed.ok()) return Note(*entry, parsed.error());
+  if (!parsed.ok()) return Add(*entry, parsed.error());
   T value = parsed.value();
   if (value < range.least || range.most < value) {
-    return Note(*entry, {Code::kOutOfRange, ShowRange(range)});
+    return Add(*entry, {Code::kOutOfRange, ShowRange(range)});
   }
   *out = value;
 }
--- a/src/settings/field_reader.h
+++ b/src/settings/field_reader.h
@@ -27,7 +27,7 @@
   T most;
 };
 
-inline constexpr Range<double> kNotNegative = {
+inline constexpr Range<double> kNonNegative = {
     0, std::numeric_limits<double>::max()};
 
 class FieldReader {
@@ -82,7 +82,7 @@
       if (entry->value == name) return;
       names += (names.empty() ? "" : ", ") + std::string(name);
     }
-    Note(*entry, {Code::kOutOfRange, "must be one of " + names});
+    Add(*entry, {Code::kOutOfRange, "must be one of " + names});
   }
 
   // Whether the section has the key; it counts as known from then on.
@@ -94,14 +94,14 @@
   int Line(std::string_view key) const;
 
   // Notes a problem with the key, such as a contradiction.
-  void Note(std::string_view key, Code code, std::string_view text);
+  void AddProblem(std::string_view key, Code code, std::string_view text);
 
   // Notes every key that was never asked for.
-  void Finish();
+  void ReportUnknownKeys();
 
  private:
   const Entry* Find(std::string_view key, Need need);
-  void Note(const Entry& entry, const Error& error);
+  void Add(const Entry& entry, const Error& error);
 
   template <typename T, typename Parser>
   void Read(std::string_view key, Need need, const Parser& parser,
--- a/src/settings/gateway_settings.cc
+++ b/src/settings/gateway_settings.cc
@@ -37,7 +37,7 @@
   } else if (kind == "table") {
     reader.Address("address", &settings->table, Need::kRequired);
   } else if (kind == "limits") {
-    reader.Number("tolerance_tokens", kNotNegative,
+    reader.Number("tolerance_tokens", kNonNegative,
                   &settings->limit_tolerance_tokens);
   } else if (kind == "retries") {
     reader.Number("per_request", kRatio, &settings->retries_per_request);
@@ -68,7 +68,7 @@
     seen.insert(section.kind);
     FieldReader reader(document, section, problems);
     ReadSection(section.kind, reader, &settings);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
   for (const char* kind : kRequired) {
     if (seen.contains(kind)) continue;
--- a/src/settings/host_settings.cc
+++ b/src/settings/host_settings.cc
@@ -62,7 +62,7 @@
     }
     FieldReader reader(document_, section, problems_);
     (this->*found->second)(reader);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadHost(FieldReader& reader) {
@@ -88,7 +88,8 @@
     // A caller of one interface could act on the other.
     bool same = settings_.peer_key == settings_.operator_key;
     if (same && !settings_.peer_key.empty()) {
-      reader.Note("operator_key", Code::kContradiction, "equals peer_key");
+      reader.AddProblem("operator_key", Code::kContradiction,
+                        "equals peer_key");
     }
   }
 
@@ -106,7 +107,8 @@
       auto parsed = ParseEndpoint(address);
       if (parsed.ok()) platform.addresses.push_back(parsed.value());
       if (!parsed.ok()) {
-        reader.Note("addresses", parsed.error().code, parsed.error().detail);
+        reader.AddProblem("addresses", parsed.error().code,
+                          parsed.error().detail);
       }
     }
     reader.Duration("timeout", kShort, &platform.timeout);
@@ -166,20 +168,21 @@
     bool direct = reader.Has(key);
     bool by_file = reader.Has(file_key);
     if (direct && by_file) {
-      return reader.Note(file_key, Code::kContradiction,
-                         "and " + key + " are both set");
+      return reader.AddProblem(file_key, Code::kContradiction,
+                               "and " + key + " are both set");
     }
     if (!direct && !by_file) {
-      return reader.Note(key, Code::kMissingSetting,
-                         "or " + file_key + " is missing in [control]");
+      return reader.AddProblem(key, Code::kMissingSetting,
+                               "or " + file_key + " is missing in [control]");
     }
     if (direct) reader.Text(key, out);
     if (by_file) ReadFileSetting(reader, file_key, out);
     *out = std::string(absl::StripAsciiWhitespace(*out));
     // The text of a key appears in no message.
     if (!out->empty() && out->size() < kMinKeyBytes) {
-      reader.Note(direct ? key : file_key, Code::kOutOfRange,
-                  absl::StrCat("must have at least ", kMinKeyBytes, " bytes"));
+      reader.AddProblem(
+          direct ? key : file_key, Code::kOutOfRange,
+          absl::StrCat("must have at least ", kMinKeyBytes, " bytes"));
     }
   }
 
@@ -192,9 +195,9 @@
     if (key) ReadFileSetting(reader, "private_key_file", &tls->private_key_pem);
     // With one of them alone the port would be open in clear text.
     if (certificate == key) return;
-    reader.Note(certificate ? "certificate_file" : "private_key_file",
-                Code::kContradiction,
-                "needs certificate_file and private_key_file together");
+    reader.AddProblem(certificate ? "certificate_file" : "private_key_file",
+                      Code::kContradiction,
+                      "needs certificate_file and private_key_file together");
   }
 
   void ReadFileSetting(FieldReader& reader, const std::string& key,
@@ -205,10 +208,10 @@
     if (path[0] != '/') path = absl::StrCat(folder_, "/", path);
     auto text = ReadFile(path);
     if (!text.ok()) {
-      return reader.Note(key, text.error().code, text.error().detail);
+      return reader.AddProblem(key, text.error().code, text.error().detail);
     }
     *out = text.value();
-    if (out->empty()) reader.Note(key, Code::kMissingSetting, "is empty");
+    if (out->empty()) reader.AddProblem(key, Code::kMissingSetting, "is empty");
   }
 
   void RequireSections() {
