--- a/src/gateway/group_client.cc
+++ b/src/gateway/group_client.cc
@@ -10,57 +10,57 @@
 namespace gentianlb::gateway {
 namespace {
 
-// Without an answer for a tenth of the time that its first token has, a request
-// is decided here. Two ways between zones and a busy small host take some
-// milliseconds; a host that froze must not cost a request without an objective
-// more than it can notice.
-constexpr double kAnswerPart = 0.1;
-constexpr absl::Duration kShortestAnswer = absl::Milliseconds(15);
-constexpr absl::Duration kLongestAnswer = absl::Milliseconds(60);
+// A request without an answer for this fraction of the time left until its
+// first token is due is decided locally. Two transfers between zones and a busy
+// small host take some milliseconds. The upper limit bounds the delay that a
+// frozen host adds to a request without an objective.
+constexpr double kTimeoutFraction = 0.1;
+constexpr absl::Duration kMinTimeout = absl::Milliseconds(15);
+constexpr absl::Duration kMaxTimeout = absl::Milliseconds(60);
 
-// The dispatcher tells hosts whose requests wait there that it is alive, four
-// times as often.
-constexpr absl::Duration kAliveTime = absl::Milliseconds(100);
+// A dispatcher without a message for this long is unresponsive. It sends
+// heartbeats four times as often to hosts whose requests it has queued.
+constexpr absl::Duration kHeartbeatTimeout = absl::Milliseconds(100);
 
-// How often is looked whether a group has another dispatcher.
-constexpr absl::Duration kMovePeriod = absl::Milliseconds(100);
+// How often the client checks whether a group has another dispatcher.
+constexpr absl::Duration kDispatcherCheckInterval = absl::Milliseconds(100);
 
-// How often dispatchers are told which requests are open. A lost datagram keeps
-// a stream of a server taken for this long and kSurelyHeard of
-// group_dispatchers.cc.
-constexpr absl::Duration kOpenPeriod = absl::Milliseconds(500);
+// How often dispatchers receive the list of open requests. If the datagram that
+// reports a finished request is lost, its stream stays occupied for up to this
+// long plus kMaxReorder of group_dispatchers.cc.
+constexpr absl::Duration kReportInterval = absl::Milliseconds(500);
 
-absl::Duration AnswerTime(const schedule::Request& request, absl::Time now) {
-  if (request.first_token_due == absl::InfiniteFuture()) return kLongestAnswer;
-  return std::clamp((request.first_token_due - now) * kAnswerPart,
-                    kShortestAnswer, kLongestAnswer);
+absl::Duration AnswerTimeout(const schedule::Request& request, absl::Time now) {
+  if (request.first_token_due == absl::InfiniteFuture()) return kMaxTimeout;
+  return std::clamp((request.first_token_due - now) * kTimeoutFraction,
+                    kMinTimeout, kMaxTimeout);
 }
 
 }  // namespace
 
 void GroupClient::SetServers(const ServiceId& service,
                              const std::vector<ServerEntry>& servers) {
-  ServiceGroups& known = services_[service];
-  known.name = HashName(service.str());
-  known.groups = servers.empty() ? 0 : GroupsFor(servers);
+  ServiceGroups& entry = services_[service];
+  entry.name = HashName(service.str());
+  entry.groups = servers.empty() ? 0 : GroupCount(servers);
   for (const ServerEntry& server : servers) {
-    groups_of_[server.id] = {known.name, GroupOf(server.id, known.groups)};
+    group_of_[server.id] = {entry.name, GroupOf(server.id, entry.groups)};
   }
 }
 
-void GroupClient::SetStage(Open* open, Stage stage) {
-  pending_ += static_cast<int>(stage != Stage::kRuns) -
-              static_cast<int>(open->stage != Stage::kRuns);
-  if (open->stage == Stage::kRuns) --granted_on_[open->server];
-  if (stage == Stage::kRuns) ++granted_on_[open->server];
+void GroupClient::SetStage(OpenRequest* open, Stage stage) {
+  pending_ += static_cast<int>(stage != Stage::kRunning) -
+              static_cast<int>(open->stage != Stage::kRunning);
+  if (open->stage == Stage::kRunning) --granted_on_[open->server];
+  if (stage == Stage::kRunning) ++granted_on_[open->server];
   open->stage = stage;
 }
 
 void GroupClient::Erase(const RequestId& id) {
   const auto found = open_.find(id);
   if (found == open_.end()) return;
-  const Open& open = found->second;
-  if (open.stage == Stage::kRuns) {
+  const OpenRequest& open = found->second;
+  if (open.stage == Stage::kRunning) {
     --granted_on_[open.server];
   } else {
     --pending_;
@@ -73,84 +73,85 @@
   return found == granted_on_.end() ? 0 : found->second;
 }
 
-// The group with more room of two that the request's name picks: the power of
-// two choices.
+// Returns the group with more free capacity of two groups that the hash of the
+// request id selects: the power of two choices.
 GroupKey GroupClient::ChooseGroup(const ServiceGroups& service,
                                   const RequestId& id) const {
-  const auto draw = static_cast<std::uint32_t>(absl::HashOf(id));
+  const auto hash = static_cast<std::uint32_t>(absl::HashOf(id));
   const auto groups = static_cast<std::uint32_t>(service.groups);
-  GroupKey first{service.name, static_cast<std::uint16_t>(draw % groups)};
+  GroupKey first{service.name, static_cast<std::uint16_t>(hash % groups)};
   if (groups == 1) return first;
-  const std::uint32_t step = 1 + (draw / groups) % (groups - 1);
+  const std::uint32_t step = 1 + (hash / groups) % (groups - 1);
   GroupKey second{service.name,
                   static_cast<std::uint16_t>((first.group + step) % groups)};
-  const auto room = [this](const GroupKey& key) {
-    const auto found = rooms_.find(key);
-    return found == rooms_.end() ? 0 : found->second;
+  const auto capacity = [this](const GroupKey& key) {
+    const auto found = capacities_.find(key);
+    return found == capacities_.end() ? 0 : found->second;
   };
-  return room(second) > room(first) ? second : first;
+  return capacity(second) > capacity(first) ? second : first;
 }
 
-void GroupClient::Send(const Open& open, GroupEvent event) {
+void GroupClient::Send(const OpenRequest& open, GroupEvent event) {
   hooks_.send(open.dispatcher, {open.group, std::move(event)});
 }
 
-bool GroupClient::Ask(const ServiceId& service,
-                      const schedule::Request& request, absl::Time now) {
-  const auto known = services_.find(service);
-  if (known == services_.end() || known->second.groups == 0) return false;
-  Open open;
+bool GroupClient::Submit(const ServiceId& service,
+                         const schedule::Request& request, absl::Time now) {
+  const auto found = services_.find(service);
+  if (found == services_.end() || found->second.groups == 0) return false;
+  OpenRequest open;
   open.service = service;
-  open.group = ChooseGroup(known->second, request.id);
-  open.dispatcher = hosts_->DispatcherOf(open.group, now);
+  open.group = ChooseGroup(found->second, request.id);
+  open.dispatcher = selector_->DispatcherOf(open.group, now);
   if (open.dispatcher.empty()) return false;
   open.request = request;
-  open.asked = now;
-  open.answer_due = now + AnswerTime(request, now);
-  --rooms_[open.group];
+  open.submitted = now;
+  open.answer_deadline = now + AnswerTimeout(request, now);
+  --capacities_[open.group];
   ++pending_;
   const GroupKey group = open.group;
   const EntryHostId dispatcher = open.dispatcher;
   open_[request.id] = std::move(open);
-  // It may be answered before this returns.
+  // The answer may arrive before send() returns.
   hooks_.send(dispatcher, {group, schedule::RequestArrived{request}});
   return true;
 }
 
-bool GroupClient::Ended(const schedule::RequestEnded& event, absl::Time now) {
+bool GroupClient::OnFinished(const schedule::RequestEnded& event,
+                             absl::Time now) {
   const auto found = open_.find(event.id);
   if (found == open_.end()) return false;
-  Open& open = found->second;
+  OpenRequest& open = found->second;
   if (event.kind != schedule::EndKind::kNotSent) {
     Send(open, event);
     Erase(event.id);
     return false;
   }
   // The dispatcher chooses another server.
-  SetStage(&open, Stage::kAsked);
-  open.asked = now;
-  open.answer_due = now + AnswerTime(open.request, now);
-  const Open asked = open;
+  SetStage(&open, Stage::kSubmitted);
+  open.submitted = now;
+  open.answer_deadline = now + AnswerTimeout(open.request, now);
+  const OpenRequest copy = open;
   hooks_.notify_local_dispatcher(
-      asked.service,
+      copy.service,
       schedule::RequestEnded{event.id, schedule::EndKind::kBroken, 0, 0});
-  Send(asked, event);
+  Send(copy, event);
   return true;
 }
 
 bool GroupClient::OnEvent(const ServiceId& service,
                           const schedule::Event& event, absl::Time now) {
   if (const auto* arrived = std::get_if<schedule::RequestArrived>(&event)) {
-    return Ask(service, arrived->request, now);
+    return Submit(service, arrived->request, now);
   }
   if (const auto* ended = std::get_if<schedule::RequestEnded>(&event)) {
-    return Ended(*ended, now);
+    return OnFinished(*ended, now);
   }
-  if (const auto* gone = std::get_if<schedule::CallerGone>(&event)) {
-    const auto found = open_.find(gone->id);
+  if (const auto* disconnected = std::get_if<schedule::CallerGone>(&event)) {
+    const auto found = open_.find(disconnected->id);
     if (found == open_.end()) return false;
-    Send(found->second, *gone);
-    Erase(gone->id);
+    Send(found->second, *disconnected);
+    Erase(disconnected->id);
     return true;
   }
   if (const auto* streamed = std::get_if<schedule::TokensStreamed>(&event)) {
@@ -163,31 +164,31 @@
   return false;
 }
 
-void GroupClient::Heard(const EntryHostId& host, absl::Time now) {
-  heard_[host] = now;
+void GroupClient::RecordContact(const EntryHostId& host, absl::Time now) {
+  last_contact_[host] = now;
 }
 
-void GroupClient::TakeRoom(const GroupRoom& room) {
-  rooms_[room.group] = room.streams;
+void GroupClient::SetCapacity(const GroupCapacity& capacity) {
+  capacities_[capacity.group] = capacity.free_streams;
 }
 
-void GroupClient::TakeGrant(const EntryHostId& from,
-                            const schedule::Grant& grant) {
+void GroupClient::HandleGrant(const EntryHostId& from,
+                              const schedule::Grant& grant) {
   const auto found = open_.find(grant.id);
-  const bool known = found != open_.end() && found->second.dispatcher == from;
-  if (known && found->second.stage == Stage::kRuns) return;  // Told twice.
-  if (!known) {
-    const auto group = groups_of_.find(grant.server);
-    if (group == groups_of_.end()) return;
+  const bool valid = found != open_.end() && found->second.dispatcher == from;
+  if (valid && found->second.stage == Stage::kRunning) return;  // A duplicate.
+  if (!valid) {
+    const auto group = group_of_.find(grant.server);
+    if (group == group_of_.end()) return;
     return hooks_.send(
         from,
         {group->second, schedule::RequestEnded{
                             grant.id, schedule::EndKind::kCancelled, 0, 0}});
   }
-  Open& open = found->second;
+  OpenRequest& open = found->second;
   open.server = grant.server;
-  SetStage(&open, Stage::kRuns);
-  // Copies: what follows may end the request.
+  SetStage(&open, Stage::kRunning);
+  // Copies, because the hooks may finish the request.
   const schedule::RequestRunning running{open.request, grant.server, 0,
                                          /*just_sent=*/true};
   const ServiceId service = open.service;
@@ -195,38 +196,38 @@
   hooks_.decide(schedule::Grant{grant.id, self_, grant.server});
 }
 
-void GroupClient::TakeWaits(const EntryHostId& from,
-                            const RequestWaits& waits) {
-  const auto found = open_.find(waits.id);
+void GroupClient::HandleQueued(const EntryHostId& from,
+                               const RequestQueued& queued) {
+  const auto found = open_.find(queued.id);
   if (found == open_.end() || found->second.dispatcher != from) return;
-  if (found->second.stage == Stage::kAsked) {
-    SetStage(&found->second, Stage::kWaits);
+  if (found->second.stage == Stage::kSubmitted) {
+    SetStage(&found->second, Stage::kQueued);
   }
 }
 
-void GroupClient::TakeRefusal(const EntryHostId& from,
-                              const schedule::Refuse& refusal) {
+void GroupClient::HandleRefusal(const EntryHostId& from,
+                                const schedule::Refuse& refusal) {
   const auto found = open_.find(refusal.id);
   if (found == open_.end() || found->second.dispatcher != from) return;
-  if (found->second.stage == Stage::kRuns) return;
+  if (found->second.stage == Stage::kRunning) return;
   Erase(refusal.id);
   hooks_.decide(refusal);
 }
 
-void GroupClient::Take(const EntryHostId& from, const GroupAnswer& answer,
-                       absl::Time now) {
-  Heard(from, now);
+void GroupClient::HandleAnswer(const EntryHostId& from,
+                               const GroupAnswer& answer, absl::Time now) {
+  RecordContact(from, now);
   if (const auto* grant = std::get_if<schedule::Grant>(&answer)) {
-    TakeGrant(from, *grant);
-  } else if (const auto* waits = std::get_if<RequestWaits>(&answer)) {
-    TakeWaits(from, *waits);
+    HandleGrant(from, *grant);
+  } else if (const auto* queued = std::get_if<RequestQueued>(&answer)) {
+    HandleQueued(from, *queued);
   } else {
-    TakeRefusal(from, std::get<schedule::Refuse>(answer));
+    HandleRefusal(from, std::get<schedule::Refuse>(answer));
   }
 }
 
-void GroupClient::TakeBack(const RequestId& id) {
-  const Open open = open_.at(id);
+void GroupClient::Reclaim(const RequestId& id) {
+  const OpenRequest open = open_.at(id);
   Erase(id);
   Send(open, schedule::CallerGone{id});
   hooks_.notify_local_dispatcher(open.service,
@@ -234,42 +235,44 @@
 }
 
 void GroupClient::Tick(absl::Time now) {
-  std::vector<RequestId> vain;
+  std::vector<RequestId> reclaimed;
   for (const auto& [id, open] : open_) {
-    if (open.stage == Stage::kRuns || open.dispatcher == self_) continue;
-    const auto heard = heard_.find(open.dispatcher);
-    const absl::Time last =
-        heard == heard_.end() ? absl::InfinitePast() : heard->second;
+    if (open.stage == Stage::kRunning || open.dispatcher == self_) continue;
+    const auto contact = last_contact_.find(open.dispatcher);
+    const absl::Time last_contact =
+        contact == last_contact_.end() ? absl::InfinitePast() : contact->second;
     const bool unanswered =
-        open.stage == Stage::kAsked && now > open.answer_due;
-    const bool silent = now - std::max(last, open.asked) > kAliveTime;
-    if (!unanswered && !silent) continue;
-    vain.push_back(id);
-    // One datagram may be lost; a host that said nothing since is silent.
-    if (last < open.asked) hosts_->Silent(open.dispatcher, now);
+        open.stage == Stage::kSubmitted && now > open.answer_deadline;
+    const bool unresponsive =
+        now - std::max(last_contact, open.submitted) > kHeartbeatTimeout;
+    if (!unanswered && !unresponsive) continue;
+    reclaimed.push_back(id);
+    // A single datagram may be lost, but a host that has sent nothing since the
+    // request was submitted is unresponsive.
+    if (last_contact < open.submitted) selector_->Exclude(open.dispatcher, now);
   }
-  // The table has no order; decisions must not depend on its hashing.
-  std::sort(vain.begin(), vain.end());
-  for (const RequestId& id : vain) TakeBack(id);
-  if (!vain.empty()) {
-    LOG(INFO) << "event=group-silent requests=" << vain.size();
+  // The order of the hash table is arbitrary; decisions must not depend on it.
+  std::sort(reclaimed.begin(), reclaimed.end());
+  for (const RequestId& id : reclaimed) Reclaim(id);
+  if (!reclaimed.empty()) {
+    LOG(INFO) << "event=group-silent requests=" << reclaimed.size();
   }
-  if (now - moved_ >= kMovePeriod) MoveToNewDispatchers(now);
-  if (now - told_open_ >= kOpenPeriod) TellOpen(now);
+  if (now - last_move_ >= kDispatcherCheckInterval) MoveToNewDispatchers(now);
+  if (now - last_report_ >= kReportInterval) ReportOpenRequests(now);
 }
 
-void GroupClient::TellOpen(absl::Time now) {
-  told_open_ = now;
+void GroupClient::ReportOpenRequests(absl::Time now) {
+  last_report_ = now;
   std::map<std::pair<EntryHostId, GroupKey>, OpenRequests> open_requests;
-  for (auto& [dispatcher, more] : told_) {
-    if (std::exchange(more, false)) open_requests[dispatcher];
+  for (auto& [dispatcher, has_requests] : reported_to_) {
+    if (std::exchange(has_requests, false)) open_requests[dispatcher];
   }
-  std::erase_if(told_, [&](const auto& item) {
+  std::erase_if(reported_to_, [&](const auto& item) {
     return !open_requests.contains(item.first);
   });
   for (const auto& [id, open] : open_) {
     open_requests[{open.dispatcher, open.group}].ids.push_back(id);
-    told_[{open.dispatcher, open.group}] = true;
+    reported_to_[{open.dispatcher, open.group}] = true;
   }
   for (auto& [dispatcher, ids] : open_requests) {
     hooks_.send(dispatcher.first, {dispatcher.second, std::move(ids)});
@@ -277,25 +280,26 @@
 }
 
 void GroupClient::MoveToNewDispatchers(absl::Time now) {
-  moved_ = now;
+  last_move_ = now;
   std::vector<RequestId> moving;
   for (const auto& [id, open] : open_) {
-    const EntryHostId current = hosts_->DispatcherOf(open.group, now);
+    const EntryHostId current = selector_->DispatcherOf(open.group, now);
     if (current != open.dispatcher) moving.push_back(id);
   }
   std::sort(moving.begin(), moving.end());
   for (const RequestId& id : moving) {
     const auto found = open_.find(id);
     if (found == open_.end()) continue;
-    if (found->second.stage != Stage::kRuns) {
-      TakeBack(id);
+    if (found->second.stage != Stage::kRunning) {
+      Reclaim(id);
       continue;
     }
     const EntryHostId before = found->second.dispatcher;
-    found->second.dispatcher = hosts_->DispatcherOf(found->second.group, now);
-    // A copy: what is told to a dispatcher of this host may come back at once
-    // and change the table.
-    const Open open = found->second;
+    found->second.dispatcher =
+        selector_->DispatcherOf(found->second.group, now);
+    // A copy, because a dispatcher of this host may answer at once and change
+    // the table.
+    const OpenRequest open = found->second;
     hooks_.send(before,
                 {open.group, schedule::RequestEnded{
                                  id, schedule::EndKind::kCancelled, 0, 0}});
--- a/src/gateway/group_client.h
+++ b/src/gateway/group_client.h
@@ -1,14 +1,17 @@
-// The requests of this host that a group's dispatcher orders.
+// Submits the requests of this host to the dispatchers of groups and tracks
+// them.
 //
-// What goes wrong: the dispatcher's host is killed, freezes, is cut off or
-// slow, and its datagrams are lost. Callers would wait for a decision that
-// never comes. So a request that has no answer after some milliseconds, or
-// waits at a host that has fallen silent, is taken back and decided here, on
-// the news of all hosts; the silent one is left out for a while. What a
-// dispatcher decides for a request that was taken back is answered with its
-// end, so that the dispatcher doesn't count it for ever.
+// The host of a dispatcher may be killed, freeze, become slow or be
+// partitioned, and datagrams may be lost. Callers would then wait for a
+// decision that never arrives. A request that has no answer after some
+// milliseconds, or that is queued at an unresponsive host, is therefore
+// reclaimed and dispatched locally, based on the state updates of all hosts.
+// The unresponsive host is not selected as a dispatcher for a while. If a
+// dispatcher grants a reclaimed request, the client reports it as finished, so
+// that the dispatcher doesn't count it forever.
 //
-// Knows no network and no clock; the hooks carry what has to leave.
+// The class has no access to the network or a clock; it sends through its
+// hooks.
 
 #ifndef GENTIANLB_GATEWAY_GROUP_CLIENT_H_
 #define GENTIANLB_GATEWAY_GROUP_CLIENT_H_
@@ -26,55 +29,59 @@
 namespace gentianlb::gateway {
 
 struct GroupClientHooks {
-  // To the dispatcher of a group, on another host or on this one.
-  std::function<void(const EntryHostId& host, ToGroup item)> send;
-  // What this host's own dispatcher of the service has to be told, so that it
-  // knows all that runs here.
+  // Sends an event to the dispatcher of a group, on another host or on this
+  // one.
+  std::function<void(const EntryHostId& host, AddressedEvent item)> send;
+  // Passes an event to the local dispatcher of the service, so that it knows
+  // all requests that run on this host.
   std::function<void(const ServiceId& service, const schedule::Event& event)>
       notify_local_dispatcher;
-  // A decision on a request of this host.
+  // Executes a decision on a request of this host.
   std::function<void(const schedule::Decision& decision)> decide;
 };
 
 class GroupClient {
  public:
-  GroupClient(EntryHostId self, GroupHosts* hosts, GroupClientHooks hooks)
-      : self_(std::move(self)), hosts_(hosts), hooks_(std::move(hooks)) {}
+  GroupClient(EntryHostId self, DispatcherSelector* selector,
+              GroupClientHooks hooks)
+      : self_(std::move(self)), selector_(selector), hooks_(std::move(hooks)) {}
 
   void SetServers(const ServiceId& service,
                   const std::vector<ServerEntry>& servers);
 
-  // An event of a request of this host. True when a group's dispatcher deals
-  // with it and this host's own must not hear of it.
+  // Handles an event of a request of this host. Returns true if the dispatcher
+  // of a group handles it and the local dispatcher must not receive it.
   bool OnEvent(const ServiceId& service, const schedule::Event& event,
                absl::Time now);
 
-  // What another host's dispatchers, or this one's, answer.
-  void Take(const EntryHostId& from, const GroupAnswer& answer, absl::Time now);
-  void TakeRoom(const GroupRoom& room);
-  // Anything was heard from `host`.
-  void Heard(const EntryHostId& host, absl::Time now);
+  // Handles an answer of a dispatcher on another host or on this one.
+  void HandleAnswer(const EntryHostId& from, const GroupAnswer& answer,
+                    absl::Time now);
+  void SetCapacity(const GroupCapacity& capacity);
+  // Records that a message of any kind arrived from `host`.
+  void RecordContact(const EntryHostId& host, absl::Time now);
 
-  // Takes back what has waited in vain, and moves to new dispatchers; to be
-  // called every few milliseconds while Pending().
+  // Reclaims requests without an answer and moves requests to new dispatchers.
+  // The caller invokes this every few milliseconds while Pending().
   void Tick(absl::Time now);
-  // Something waits for a dispatcher's decision.
+  // Returns whether any request waits for the decision of a dispatcher.
   bool Pending() const { return pending_ > 0; }
 
-  // How many of this host's requests on `server` a dispatcher has granted.
+  // Returns how many requests of this host on `server` a dispatcher has
+  // granted.
   int GrantedOn(const ServerId& server) const;
 
  private:
-  enum class Stage { kAsked, kWaits, kRuns };
-  struct Open {
+  enum class Stage { kSubmitted, kQueued, kRunning };
+  struct OpenRequest {
     ServiceId service;
     GroupKey group;
     EntryHostId dispatcher;
     schedule::Request request;
-    Stage stage = Stage::kAsked;
-    absl::Time asked;
-    absl::Time answer_due;
-    ServerId server;  // Where it runs.
+    Stage stage = Stage::kSubmitted;
+    absl::Time submitted;
+    absl::Time answer_deadline;
+    ServerId server;  // Set once it is granted.
     int output_tokens = 0;
   };
   struct ServiceGroups {
@@ -83,34 +90,35 @@
   };
 
   GroupKey ChooseGroup(const ServiceGroups& service, const RequestId& id) const;
-  bool Ask(const ServiceId& service, const schedule::Request& request,
-           absl::Time now);
-  void Send(const Open& open, GroupEvent event);
-  bool Ended(const schedule::RequestEnded& event, absl::Time now);
-  void TakeGrant(const EntryHostId& from, const schedule::Grant& grant);
-  void TakeRefusal(const EntryHostId& from, const schedule::Refuse& refusal);
-  void TakeWaits(const EntryHostId& from, const RequestWaits& waits);
-  void TakeBack(const RequestId& id);
-  void TellOpen(absl::Time now);
+  bool Submit(const ServiceId& service, const schedule::Request& request,
+              absl::Time now);
+  void Send(const OpenRequest& open, GroupEvent event);
+  bool OnFinished(const schedule::RequestEnded& event, absl::Time now);
+  void HandleGrant(const EntryHostId& from, const schedule::Grant& grant);
+  void HandleRefusal(const EntryHostId& from, const schedule::Refuse& refusal);
+  void HandleQueued(const EntryHostId& from, const RequestQueued& queued);
+  void Reclaim(const RequestId& id);
+  void ReportOpenRequests(absl::Time now);
   void MoveToNewDispatchers(absl::Time now);
-  void SetStage(Open* open, Stage stage);
+  void SetStage(OpenRequest* open, Stage stage);
   void Erase(const RequestId& id);
 
   const EntryHostId self_;
-  GroupHosts* const hosts_;
+  DispatcherSelector* const selector_;
   const GroupClientHooks hooks_;
   absl::flat_hash_map<ServiceId, ServiceGroups> services_;
-  absl::flat_hash_map<ServerId, GroupKey> groups_of_;
-  absl::flat_hash_map<RequestId, Open> open_;
+  absl::flat_hash_map<ServerId, GroupKey> group_of_;
+  absl::flat_hash_map<RequestId, OpenRequest> open_;
   absl::flat_hash_map<ServerId, int> granted_on_;
-  absl::flat_hash_map<EntryHostId, absl::Time> heard_;
-  std::map<GroupKey, int> rooms_;  // As told last, less what was asked since.
+  absl::flat_hash_map<EntryHostId, absl::Time> last_contact_;
+  // Free capacity as last reported, minus the requests submitted since.
+  std::map<GroupKey, int> capacities_;
   int pending_ = 0;
-  absl::Time moved_ = absl::InfinitePast();
-  absl::Time told_open_ = absl::InfinitePast();
-  // Dispatchers that were told of open requests; those without any are told
-  // once more that there are none.
-  std::map<std::pair<EntryHostId, GroupKey>, bool> told_;
+  absl::Time last_move_ = absl::InfinitePast();
+  absl::Time last_report_ = absl::InfinitePast();
+  // Dispatchers that received a list of open requests, and whether the last
+  // list had any. One without requests receives an empty list once.
+  std::map<std::pair<EntryHostId, GroupKey>, bool> reported_to_;
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/group_dispatchers.cc
+++ b/src/gateway/group_dispatchers.cc
@@ -13,42 +13,45 @@
 namespace gentianlb::gateway {
 namespace {
 
-// A quarter of the silence after which hosts take back what waits here.
-constexpr absl::Duration kAlivePeriod = absl::Milliseconds(25);
+// A quarter of the time without a message after which hosts reclaim their
+// queued requests.
+constexpr absl::Duration kHeartbeatInterval = absl::Milliseconds(25);
 
-// A group that nobody asked for is another host's by now.
-constexpr absl::Duration kUnused = absl::Seconds(20);
+// A group without events for this long is now assigned to another host.
+constexpr absl::Duration kIdleTimeout = absl::Seconds(20);
 
-// After such a pause of this process all that it knows is old: hosts have taken
-// their requests back and asked another. What they sent meanwhile would be
-// granted twice.
-constexpr absl::Duration kPaused = absl::Milliseconds(500);
+// If this process was paused for longer than this, its state is outdated: hosts
+// have reclaimed their requests and submitted them to another dispatcher.
+// Requests received during the pause would be granted twice.
+constexpr absl::Duration kMaxPause = absl::Milliseconds(500);
 
-// A grant, the request's end and the list of open requests overtake each other
-// on the way by some milliseconds; what is older than this and not in the list
-// has ended, and the message that told so was lost.
-constexpr absl::Duration kSurelyHeard = absl::Milliseconds(300);
+// Grants, reports of finished requests and lists of open requests may overtake
+// each other by some milliseconds. A request that was recorded earlier than
+// this and is not in the list has finished, and its report was lost.
+constexpr absl::Duration kMaxReorder = absl::Milliseconds(300);
 
-// A host that has requests here and says nothing for so long was killed, froze
-// or is cut off: several lists of open requests are missing. What it had
-// running would otherwise keep streams of servers taken until its deadline.
-constexpr absl::Duration kHostSilent = absl::Seconds(2);
+// A host that has requests here and sends nothing for this long was killed, is
+// frozen or is partitioned: several lists of open requests are missing. Its
+// running requests would otherwise occupy server streams until their deadlines.
+constexpr absl::Duration kHostTimeout = absl::Seconds(2);
 
-// The name of a host's request here: hosts count theirs by themselves.
-RequestId NameHere(const EntryHostId& host, const RequestId& id) {
+// Returns the request id qualified by its host, because each host numbers its
+// requests independently.
+RequestId QualifiedId(const EntryHostId& host, const RequestId& id) {
   return RequestId(absl::StrCat(host.str(), "/", id.str()));
 }
 
-RequestId NameThere(const EntryHostId& host, const RequestId& id) {
+// Returns the id that `host` uses for the request with qualified id `id`.
+RequestId UnqualifiedId(const EntryHostId& host, const RequestId& id) {
   return RequestId(id.str().substr(host.str().size() + 1));
 }
 
-// The event with the names that its request has here.
-struct Renamed {
+// Visitor that returns the event with qualified request ids.
+struct EventQualifier {
   const EntryHostId& host;
 
-  schedule::Request Own(schedule::Request request) const {
-    request.id = NameHere(host, request.id);
+  schedule::Request Qualify(schedule::Request request) const {
+    request.id = QualifiedId(host, request.id);
     request.host = host;
     return request;
   }
@@ -56,15 +59,15 @@
     return schedule::TimePassed{};
   }
   schedule::Event operator()(const schedule::RequestArrived& event) const {
-    return schedule::RequestArrived{Own(event.request)};
+    return schedule::RequestArrived{Qualify(event.request)};
   }
   schedule::Event operator()(const schedule::RequestRunning& event) const {
-    return schedule::RequestRunning{Own(event.request), event.server,
+    return schedule::RequestRunning{Qualify(event.request), event.server,
                                     event.output_tokens};
   }
-  template <typename OfRequest>
-  schedule::Event operator()(OfRequest event) const {
-    event.id = NameHere(host, event.id);
+  template <typename RequestEvent>
+  schedule::Event operator()(RequestEvent event) const {
+    event.id = QualifiedId(host, event.id);
     return event;
   }
 };
@@ -75,34 +78,34 @@
                                   const std::vector<ServerEntry>& servers,
                                   absl::Time now) {
   const NameHash name = HashName(service.id.str());
-  Known& known = services_[name];
-  known.service = service;
-  known.servers = servers;
-  known.groups = GroupsFor(servers);
-  for (auto& [group, kept] : kept_) {
-    if (group.service == name) Configure(group, &kept, now);
+  ServiceInfo& info = services_[name];
+  info.service = service;
+  info.servers = servers;
+  info.groups = GroupCount(servers);
+  for (auto& [group, state] : groups_) {
+    if (group.service == name) Configure(group, &state, now);
   }
 }
 
-void GroupDispatchers::Configure(const GroupKey& group, Kept* kept,
+void GroupDispatchers::Configure(const GroupKey& group, GroupState* state,
                                  absl::Time now) {
-  const Known& known = services_.at(group.service);
+  const ServiceInfo& info = services_.at(group.service);
   std::vector<ServerEntry> servers;
-  for (const ServerEntry& server : known.servers) {
-    if (GroupOf(server.id, known.groups) == group.group) {
+  for (const ServerEntry& server : info.servers) {
+    if (GroupOf(server.id, info.groups) == group.group) {
       servers.push_back(server);
     }
   }
   std::vector<schedule::Decision> decisions;
-  kept->queue.SetServers(known.service, servers, /*hosts=*/1, now, &decisions);
-  Answer(group, kept, decisions, now);
+  state->queue.SetServers(info.service, servers, /*hosts=*/1, now, &decisions);
+  SendDecisions(group, state, decisions, now);
 }
 
-GroupDispatchers::Kept* GroupDispatchers::FindOrBegin(const GroupKey& group,
-                                                      absl::Time now) {
+GroupDispatchers::GroupState* GroupDispatchers::FindOrCreate(
+    const GroupKey& group, absl::Time now) {
   if (!services_.contains(group.service)) return nullptr;
-  const auto [found, is_new] = kept_.try_emplace(group, options_);
-  found->second.used = now;
+  const auto [found, is_new] = groups_.try_emplace(group, options_);
+  found->second.last_used = now;
   if (is_new) {
     LOG(INFO) << "event=group-taken service="
               << services_.at(group.service).service.id
@@ -112,174 +115,176 @@
   return &found->second;
 }
 
-void GroupDispatchers::Take(const EntryHostId& from, const ToGroup& item,
-                            absl::Time now) {
-  Kept* kept = FindOrBegin(item.group, now);
-  if (kept == nullptr) return;
-  kept->heard[from] = now;
+void GroupDispatchers::HandleEvent(const EntryHostId& from,
+                                   const AddressedEvent& item, absl::Time now) {
+  GroupState* state = FindOrCreate(item.group, now);
+  if (state == nullptr) return;
+  state->last_contact[from] = now;
   if (const auto* open = std::get_if<OpenRequests>(&item.event)) {
-    return Reconcile(item.group, kept, from, *open, now);
+    return Reconcile(item.group, state, from, *open, now);
   }
-  const schedule::Event event = std::visit(Renamed{from}, item.event);
+  const schedule::Event event = std::visit(EventQualifier{from}, item.event);
   if (const auto* arrived = std::get_if<schedule::RequestArrived>(&event)) {
-    // A datagram may come twice.
-    if (kept->of_hosts[from].contains(arrived->request.id)) return;
-    return Ask(item.group, kept, arrived->request.id, from, event, now);
+    // The network may duplicate a datagram.
+    if (state->requests_by_host[from].contains(arrived->request.id)) return;
+    return Enqueue(item.group, state, arrived->request.id, from, event, now);
   }
   if (const auto* running = std::get_if<schedule::RequestRunning>(&event)) {
-    kept->of_hosts[from][running->request.id] = now;
+    state->requests_by_host[from][running->request.id] = now;
   }
-  if (const auto* gone = std::get_if<schedule::CallerGone>(&event)) {
-    return End(item.group, kept, gone->id, now);
+  if (const auto* disconnected = std::get_if<schedule::CallerGone>(&event)) {
+    return FinishRequest(item.group, state, disconnected->id, now);
   }
-  if (const auto* ended = std::get_if<schedule::RequestEnded>(&event)) {
-    if (ended->kind == schedule::EndKind::kNotSent) {
-      return Ask(item.group, kept, ended->id, from, event, now);
+  if (const auto* finished = std::get_if<schedule::RequestEnded>(&event)) {
+    if (finished->kind == schedule::EndKind::kNotSent) {
+      return Enqueue(item.group, state, finished->id, from, event, now);
     }
-    if (kept->waiting.contains(ended->id)) {
-      return End(item.group, kept, ended->id, now);
+    if (state->waiting.contains(finished->id)) {
+      return FinishRequest(item.group, state, finished->id, now);
     }
-    kept->of_hosts[from].erase(ended->id);
+    state->requests_by_host[from].erase(finished->id);
   }
-  Handle(item.group, kept, event, now);
+  Handle(item.group, state, event, now);
 }
 
-void GroupDispatchers::Ask(const GroupKey& group, Kept* kept,
-                           const RequestId& id, const EntryHostId& from,
-                           const schedule::Event& event, absl::Time now) {
-  kept->waiting[id] = from;
-  kept->of_hosts[from][id] = now;
-  Handle(group, kept, event, now);
-  if (kept->waiting.contains(id)) {
-    hooks_.answer(from, RequestWaits{NameThere(from, id)});
+void GroupDispatchers::Enqueue(const GroupKey& group, GroupState* state,
+                               const RequestId& id, const EntryHostId& from,
+                               const schedule::Event& event, absl::Time now) {
+  state->waiting[id] = from;
+  state->requests_by_host[from][id] = now;
+  Handle(group, state, event, now);
+  if (state->waiting.contains(id)) {
+    hooks_.answer(from, RequestQueued{UnqualifiedId(from, id)});
   }
 }
 
-void GroupDispatchers::End(const GroupKey& group, Kept* kept,
-                           const RequestId& id, absl::Time now) {
-  for (auto& [host, requests] : kept->of_hosts) requests.erase(id);
-  if (kept->waiting.erase(id) > 0) {
-    Handle(group, kept, schedule::CallerGone{id}, now);
+void GroupDispatchers::FinishRequest(const GroupKey& group, GroupState* state,
+                                     const RequestId& id, absl::Time now) {
+  for (auto& [host, requests] : state->requests_by_host) requests.erase(id);
+  if (state->waiting.erase(id) > 0) {
+    Handle(group, state, schedule::CallerGone{id}, now);
   }
-  Handle(group, kept,
+  Handle(group, state,
          schedule::RequestEnded{id, schedule::EndKind::kCancelled, 0, 0}, now);
 }
 
-void GroupDispatchers::Reconcile(const GroupKey& group, Kept* kept,
+void GroupDispatchers::Reconcile(const GroupKey& group, GroupState* state,
                                  const EntryHostId& host,
                                  const OpenRequests& open, absl::Time now) {
-  absl::flat_hash_set<RequestId> named;
-  for (const RequestId& id : open.ids) named.insert(NameHere(host, id));
-  std::vector<RequestId> ended;
-  for (const auto& [id, since] : kept->of_hosts[host]) {
-    if (now - since > kSurelyHeard && !named.contains(id)) ended.push_back(id);
+  absl::flat_hash_set<RequestId> ids;
+  for (const RequestId& id : open.ids) ids.insert(QualifiedId(host, id));
+  std::vector<RequestId> finished;
+  for (const auto& [id, since] : state->requests_by_host[host]) {
+    if (now - since > kMaxReorder && !ids.contains(id)) finished.push_back(id);
   }
-  std::sort(ended.begin(), ended.end());
-  for (const RequestId& id : ended) End(group, kept, id, now);
-  if (!ended.empty()) {
+  std::sort(finished.begin(), finished.end());
+  for (const RequestId& id : finished) FinishRequest(group, state, id, now);
+  if (!finished.empty()) {
     LOG(INFO) << "event=ended-unheard host=" << host
-              << " requests=" << ended.size();
+              << " requests=" << finished.size();
   }
 }
 
-void GroupDispatchers::DropSilentHosts(const GroupKey& group, Kept* kept,
-                                       absl::Time now) {
-  std::vector<EntryHostId> silent;
-  for (const auto& [host, heard] : kept->heard) {
-    if (now - heard > kHostSilent) silent.push_back(host);
+void GroupDispatchers::DropUnresponsiveHosts(const GroupKey& group,
+                                             GroupState* state,
+                                             absl::Time now) {
+  std::vector<EntryHostId> unresponsive;
+  for (const auto& [host, last_contact] : state->last_contact) {
+    if (now - last_contact > kHostTimeout) unresponsive.push_back(host);
   }
-  std::sort(silent.begin(), silent.end());
-  for (const EntryHostId& host : silent) {
-    Reconcile(group, kept, host, OpenRequests{}, now);
-    kept->heard.erase(host);
-    kept->of_hosts.erase(host);
+  std::sort(unresponsive.begin(), unresponsive.end());
+  for (const EntryHostId& host : unresponsive) {
+    Reconcile(group, state, host, OpenRequests{}, now);
+    state->last_contact.erase(host);
+    state->requests_by_host.erase(host);
   }
 }
 
-void GroupDispatchers::Handle(const GroupKey& group, Kept* kept,
+void GroupDispatchers::Handle(const GroupKey& group, GroupState* state,
                               const schedule::Event& event, absl::Time now) {
   std::vector<schedule::Decision> decisions;
-  kept->queue.Handle(event, now, &decisions);
-  Answer(group, kept, decisions, now);
+  state->queue.Handle(event, now, &decisions);
+  SendDecisions(group, state, decisions, now);
 }
 
-void GroupDispatchers::Answer(const GroupKey& group, Kept* kept,
-                              const std::vector<schedule::Decision>& decisions,
-                              absl::Time now) {
+void GroupDispatchers::SendDecisions(
+    const GroupKey& group, GroupState* state,
+    const std::vector<schedule::Decision>& decisions, absl::Time now) {
   for (const schedule::Decision& decision : decisions) {
     if (const auto* grant = std::get_if<schedule::Grant>(&decision)) {
-      kept->waiting.erase(grant->id);
-      kept->of_hosts[grant->host][grant->id] = now;
+      state->waiting.erase(grant->id);
+      state->requests_by_host[grant->host][grant->id] = now;
       hooks_.answer(grant->host,
-                    schedule::Grant{NameThere(grant->host, grant->id),
+                    schedule::Grant{UnqualifiedId(grant->host, grant->id),
                                     grant->host, grant->server});
-      hooks_.tell_room(grant->host, {group, kept->queue.Room()});
+      hooks_.send_capacity(grant->host, {group, state->queue.Room()});
     } else if (const auto* refusal = std::get_if<schedule::Refuse>(&decision)) {
-      // One whose caller left needs no answer.
-      if (!kept->waiting.erase(refusal->id)) continue;
-      kept->of_hosts[refusal->host].erase(refusal->id);
+      // A request whose caller has disconnected needs no answer.
+      if (!state->waiting.erase(refusal->id)) continue;
+      state->requests_by_host[refusal->host].erase(refusal->id);
       schedule::Refuse answer = *refusal;
-      answer.id = NameThere(refusal->host, refusal->id);
+      answer.id = UnqualifiedId(refusal->host, refusal->id);
       hooks_.answer(refusal->host, std::move(answer));
-      hooks_.tell_room(refusal->host, {group, kept->queue.Room()});
+      hooks_.send_capacity(refusal->host, {group, state->queue.Room()});
     }
-    // A host ends what has passed its deadline by itself.
+    // Other decisions need no message: hosts finish requests past their
+    // deadline themselves.
   }
 }
 
-void GroupDispatchers::UsedAlone(
+void GroupDispatchers::UpdateUngrantedUse(
     const absl::flat_hash_map<NameHash, ServerUse>& uses, absl::Time now) {
-  for (auto& [group, kept] : kept_) {
-    const Known& known = services_.at(group.service);
-    for (const ServerEntry& server : known.servers) {
-      if (kept.queue.FindServer(server.id) == nullptr) continue;
+  for (auto& [group, state] : groups_) {
+    const ServiceInfo& info = services_.at(group.service);
+    for (const ServerEntry& server : info.servers) {
+      if (state.queue.FindServer(server.id) == nullptr) continue;
       const auto found = uses.find(HashName(server.id.str()));
-      const int alone = found == uses.end() ? 0 : found->second.alone;
-      int& told = kept.alone[server.id];
-      if (told == alone) continue;
-      told = alone;
-      Handle(group, &kept, schedule::LoadElsewhere{server.id, alone}, now);
+      const int ungranted = found == uses.end() ? 0 : found->second.alone;
+      int& reported = state.ungranted[server.id];
+      if (reported == ungranted) continue;
+      reported = ungranted;
+      Handle(group, &state, schedule::LoadElsewhere{server.id, ungranted}, now);
     }
   }
 }
 
-void GroupDispatchers::TellAlive(absl::Time now) {
-  told_alive_ = now;
+void GroupDispatchers::SendHeartbeats(absl::Time now) {
+  last_heartbeat_ = now;
   std::set<EntryHostId> hosts;
-  for (const auto& [group, kept] : kept_) {
-    for (const auto& [id, host] : kept.waiting) hosts.insert(host);
+  for (const auto& [group, state] : groups_) {
+    for (const auto& [id, host] : state.waiting) hosts.insert(host);
   }
-  for (const EntryHostId& host : hosts) hooks_.tell_alive(host);
+  for (const EntryHostId& host : hosts) hooks_.send_heartbeat(host);
 }
 
 void GroupDispatchers::Tick(absl::Time now) {
   const bool paused =
-      ticked_ != absl::InfinitePast() && now - ticked_ > kPaused;
-  ticked_ = now;
-  if (paused && !kept_.empty()) {
-    LOG(WARNING) << "event=groups-dropped cause=\"this process stood still\"";
-    kept_.clear();
+      last_tick_ != absl::InfinitePast() && now - last_tick_ > kMaxPause;
+  last_tick_ = now;
+  if (paused && !groups_.empty()) {
+    LOG(WARNING) << "event=groups-dropped cause=\"this process was paused\"";
+    groups_.clear();
     return;
   }
-  if (now - told_alive_ >= kAlivePeriod) TellAlive(now);
-  for (auto& [group, kept] : kept_) {
-    DropSilentHosts(group, &kept, now);
-    if (kept.queue.dispatcher().NextWakeup() <= now) {
-      Handle(group, &kept, schedule::TimePassed{}, now);
+  if (now - last_heartbeat_ >= kHeartbeatInterval) SendHeartbeats(now);
+  for (auto& [group, state] : groups_) {
+    DropUnresponsiveHosts(group, &state, now);
+    if (state.queue.dispatcher().NextWakeup() <= now) {
+      Handle(group, &state, schedule::TimePassed{}, now);
     }
   }
-  std::erase_if(kept_, [now](const auto& item) {
-    const Kept& kept = item.second;
-    return now - kept.used > kUnused && kept.waiting.empty();
+  std::erase_if(groups_, [now](const auto& item) {
+    const GroupState& state = item.second;
+    return now - state.last_used > kIdleTimeout && state.waiting.empty();
   });
 }
 
 absl::Time GroupDispatchers::NextWakeup() const {
   absl::Time next = absl::InfiniteFuture();
-  for (const auto& [group, kept] : kept_) {
-    next = std::min(next, kept.queue.dispatcher().NextWakeup());
-    if (!kept.waiting.empty()) {
-      next = std::min(next, told_alive_ + kAlivePeriod);
+  for (const auto& [group, state] : groups_) {
+    next = std::min(next, state.queue.dispatcher().NextWakeup());
+    if (!state.waiting.empty()) {
+      next = std::min(next, last_heartbeat_ + kHeartbeatInterval);
     }
   }
   return next;
--- a/src/gateway/group_dispatchers.h
+++ b/src/gateway/group_dispatchers.h
@@ -1,8 +1,9 @@
-// The dispatchers of the groups that fall to this host, for the requests of all
-// hosts. A group has one from the first event that comes for it; with nothing
-// left to do it is dropped.
+// Runs the dispatchers of the groups assigned to this host, for the requests of
+// all hosts. The dispatcher of a group is created on the first event for the
+// group and dropped when it has nothing left to do.
 //
-// Knows no network and no clock; the hooks carry what has to leave.
+// The class has no access to the network or a clock; it sends through its
+// hooks.
 
 #ifndef GENTIANLB_GATEWAY_GROUP_DISPATCHERS_H_
 #define GENTIANLB_GATEWAY_GROUP_DISPATCHERS_H_
@@ -21,10 +22,13 @@
 namespace gentianlb::gateway {
 
 struct GroupDispatcherHooks {
+  // Sends an answer to the host of a request.
   std::function<void(const EntryHostId& host, GroupAnswer answer)> answer;
-  std::function<void(const EntryHostId& host, GroupRoom room)> tell_room;
-  // Anything, to show that this host is alive.
-  std::function<void(const EntryHostId& host)> tell_alive;
+  // Reports the free capacity of a group.
+  std::function<void(const EntryHostId& host, GroupCapacity capacity)>
+      send_capacity;
+  // Sends a message of any content, to show that this host is alive.
+  std::function<void(const EntryHostId& host)> send_heartbeat;
 };
 
 class GroupDispatchers {
@@ -35,62 +39,70 @@
   void SetServers(const Service& service,
                   const std::vector<ServerEntry>& servers, absl::Time now);
 
-  // An event of a request of `from`.
-  void Take(const EntryHostId& from, const ToGroup& item, absl::Time now);
+  // Handles an event that host `from` sent about one of its requests.
+  void HandleEvent(const EntryHostId& from, const AddressedEvent& item,
+                   absl::Time now);
 
-  // What hosts have running on servers that no dispatcher of a group granted.
-  void UsedAlone(const absl::flat_hash_map<NameHash, ServerUse>& uses,
-                 absl::Time now);
+  // Updates the number of requests that run on each server without a grant from
+  // the dispatcher of its group.
+  void UpdateUngrantedUse(const absl::flat_hash_map<NameHash, ServerUse>& uses,
+                          absl::Time now);
 
-  // Lets time pass; to be called at NextWakeup().
+  // Sends heartbeats, drops unresponsive hosts and unused groups, and handles
+  // due timers. The caller invokes this at NextWakeup().
   void Tick(absl::Time now);
   absl::Time NextWakeup() const;
 
  private:
-  struct Kept {
-    explicit Kept(const ServiceQueueOptions& options) : queue(options) {}
+  struct GroupState {
+    explicit GroupState(const ServiceQueueOptions& options) : queue(options) {}
     ServiceQueue queue;
-    absl::Time used;
-    // The hosts of the requests that wait, by the names that they have here.
+    absl::Time last_used;
+    // The host of each queued request, by qualified request id.
     absl::flat_hash_map<RequestId, EntryHostId> waiting;
-    // What each host has here, waiting or running, and since when.
+    // The queued and running requests of each host by qualified id, with the
+    // time when they were recorded.
     absl::flat_hash_map<EntryHostId, absl::flat_hash_map<RequestId, absl::Time>>
-        of_hosts;
-    absl::flat_hash_map<EntryHostId, absl::Time> heard;
-    absl::flat_hash_map<ServerId, int> alone;
+        requests_by_host;
+    absl::flat_hash_map<EntryHostId, absl::Time> last_contact;
+    absl::flat_hash_map<ServerId, int> ungranted;
   };
-  struct Known {
+  struct ServiceInfo {
     Service service;
     std::vector<ServerEntry> servers;
     int groups = 1;
   };
 
-  // Begins to dispatch for the group if nothing was asked before; null when its
-  // service is not known.
-  Kept* FindOrBegin(const GroupKey& group, absl::Time now);
-  void Configure(const GroupKey& group, Kept* kept, absl::Time now);
-  // `event` makes the request wait here; it may be granted or refused at once.
-  void Ask(const GroupKey& group, Kept* kept, const RequestId& id,
-           const EntryHostId& from, const schedule::Event& event,
-           absl::Time now);
-  void Handle(const GroupKey& group, Kept* kept, const schedule::Event& event,
-              absl::Time now);
-  void Answer(const GroupKey& group, Kept* kept,
-              const std::vector<schedule::Decision>& decisions, absl::Time now);
-  // Ends what `host` has here and doesn't name among its open requests.
-  void Reconcile(const GroupKey& group, Kept* kept, const EntryHostId& host,
-                 const OpenRequests& open, absl::Time now);
-  void End(const GroupKey& group, Kept* kept, const RequestId& id,
-           absl::Time now);
-  void DropSilentHosts(const GroupKey& group, Kept* kept, absl::Time now);
-  void TellAlive(absl::Time now);
+  // Returns the state of `group`, creating it on the first event for the group,
+  // or null if the service is unknown.
+  GroupState* FindOrCreate(const GroupKey& group, absl::Time now);
+  void Configure(const GroupKey& group, GroupState* state, absl::Time now);
+  // Handles an event that queues the request. The request may be granted or
+  // refused at once.
+  void Enqueue(const GroupKey& group, GroupState* state, const RequestId& id,
+               const EntryHostId& from, const schedule::Event& event,
+               absl::Time now);
+  void Handle(const GroupKey& group, GroupState* state,
+              const schedule::Event& event, absl::Time now);
+  void SendDecisions(const GroupKey& group, GroupState* state,
+                     const std::vector<schedule::Decision>& decisions,
+                     absl::Time now);
+  // Finishes the requests of `host` that are not in its list of open requests.
+  void Reconcile(const GroupKey& group, GroupState* state,
+                 const EntryHostId& host, const OpenRequests& open,
+                 absl::Time now);
+  void FinishRequest(const GroupKey& group, GroupState* state,
+                     const RequestId& id, absl::Time now);
+  void DropUnresponsiveHosts(const GroupKey& group, GroupState* state,
+                             absl::Time now);
+  void SendHeartbeats(absl::Time now);
 
   const ServiceQueueOptions options_;
   const GroupDispatcherHooks hooks_;
-  std::map<NameHash, Known> services_;
-  std::map<GroupKey, Kept> kept_;
-  absl::Time ticked_ = absl::InfinitePast();
-  absl::Time told_alive_ = absl::InfinitePast();
+  std::map<NameHash, ServiceInfo> services_;
+  std::map<GroupKey, GroupState> groups_;
+  absl::Time last_tick_ = absl::InfinitePast();
+  absl::Time last_heartbeat_ = absl::InfinitePast();
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/group_link.cc
+++ b/src/gateway/group_link.cc
@@ -6,9 +6,9 @@
 namespace gentianlb::gateway {
 namespace {
 
-// How often requests that wait for a decision are looked at: a fifth of the
-// time after which one is taken back.
-constexpr absl::Duration kLook = absl::Milliseconds(5);
+// How often requests that wait for a decision are checked for timeouts; well
+// below kMinTimeout of group_client.cc.
+constexpr absl::Duration kClientTickInterval = absl::Milliseconds(5);
 
 }  // namespace
 
@@ -19,34 +19,35 @@
       timers_(timers),
       clock_(std::move(clock)),
       hooks_(std::move(hooks)),
-      hosts_(self),
-      client_(self, &hosts_,
+      selector_(self),
+      client_(self, &selector_,
               {.send =
-                   [this](const EntryHostId& host, ToGroup item) {
+                   [this](const EntryHostId& host, AddressedEvent item) {
                      if (host == self_) {
-                       return dispatchers_.Take(self_, item, clock_());
+                       return dispatchers_.HandleEvent(self_, item, clock_());
                      }
                      Outgoing(host).events.push_back(std::move(item));
                    },
                .notify_local_dispatcher = hooks_.notify_local_dispatcher,
                .decide = hooks_.decide}),
-      dispatchers_(options,
-                   {.answer =
-                        [this](const EntryHostId& host, GroupAnswer answer) {
-                          if (host == self_) {
-                            return client_.Take(self_, answer, clock_());
-                          }
-                          Outgoing(host).answers.push_back(std::move(answer));
-                        },
-                    .tell_room =
-                        [this](const EntryHostId& host, GroupRoom room) {
-                          if (host == self_) return client_.TakeRoom(room);
-                          Outgoing(host).rooms.push_back(room);
-                        },
-                    .tell_alive =
-                        [this](const EntryHostId& host) {
-                          if (host != self_) Outgoing(host);
-                        }}) {}
+      dispatchers_(
+          options,
+          {.answer =
+               [this](const EntryHostId& host, GroupAnswer answer) {
+                 if (host == self_) {
+                   return client_.HandleAnswer(self_, answer, clock_());
+                 }
+                 Outgoing(host).answers.push_back(std::move(answer));
+               },
+           .send_capacity =
+               [this](const EntryHostId& host, GroupCapacity capacity) {
+                 if (host == self_) return client_.SetCapacity(capacity);
+                 Outgoing(host).capacities.push_back(capacity);
+               },
+           .send_heartbeat =
+               [this](const EntryHostId& host) {
+                 if (host != self_) Outgoing(host);
+               }}) {}
 
 GroupLink::~GroupLink() { timers_->Cancel(tick_); }
 
@@ -54,14 +55,14 @@
                            const std::vector<ServerEntry>& servers) {
   client_.SetServers(service.id, servers);
   dispatchers_.SetServers(service, servers, clock_());
-  Arm();
+  ScheduleTick();
 }
 
 bool GroupLink::OnEvent(const ServiceId& service,
                         const schedule::Event& event) {
-  const bool taken = client_.OnEvent(service, event, clock_());
-  Arm();
-  return taken;
+  const bool handled = client_.OnEvent(service, event, clock_());
+  ScheduleTick();
+  return handled;
 }
 
 void GroupLink::HandleDatagram(std::string_view bytes) {
@@ -71,26 +72,26 @@
     ++malformed_;
     return;
   }
-  client_.Heard(message->from, now);
-  for (const GroupRoom& room : message->rooms) client_.TakeRoom(room);
-  for (const ToGroup& item : message->events) {
-    dispatchers_.Take(message->from, item, now);
+  client_.RecordContact(message->from, now);
+  for (const GroupCapacity& cap : message->capacities) client_.SetCapacity(cap);
+  for (const AddressedEvent& item : message->events) {
+    dispatchers_.HandleEvent(message->from, item, now);
   }
   for (const GroupAnswer& answer : message->answers) {
-    client_.Take(message->from, answer, now);
+    client_.HandleAnswer(message->from, answer, now);
   }
-  Arm();
+  ScheduleTick();
 }
 
 void GroupLink::SetPeerUses(
     const absl::flat_hash_map<NameHash, ServerUse>& uses) {
-  dispatchers_.UsedAlone(uses, clock_());
+  dispatchers_.UpdateUngrantedUse(uses, clock_());
   Tick(clock_());
 }
 
 GroupMessage& GroupLink::Outgoing(const EntryHostId& host) {
-  if (!flushing_) {
-    flushing_ = true;
+  if (!flush_pending_) {
+    flush_pending_ = true;
     hooks_.defer([this, alive = std::weak_ptr<int>(alive_)] {
       if (!alive.expired()) Flush();
     });
@@ -99,7 +100,7 @@
 }
 
 void GroupLink::Flush() {
-  flushing_ = false;
+  flush_pending_ = false;
   const absl::Time now = clock_();
   std::map<EntryHostId, GroupMessage> outgoing;
   outgoing.swap(outgoing_);
@@ -112,19 +113,19 @@
 void GroupLink::Tick(absl::Time now) {
   client_.Tick(now);
   dispatchers_.Tick(now);
-  Arm();
+  ScheduleTick();
 }
 
-void GroupLink::Arm() {
+void GroupLink::ScheduleTick() {
   absl::Time next = dispatchers_.NextWakeup();
-  if (client_.Pending()) next = std::min(next, clock_() + kLook);
-  // An earlier look does no harm; a new timer for each event would cost more.
-  if (next >= tick_at_) return;
+  if (client_.Pending()) next = std::min(next, clock_() + kClientTickInterval);
+  // An early tick does no harm; a new timer for each event would cost more.
+  if (next >= next_tick_) return;
   timers_->Cancel(tick_);
-  tick_at_ = next;
+  next_tick_ = next;
   tick_ = timers_->At(next, [this](absl::Time now) {
     tick_ = 0;
-    tick_at_ = absl::InfiniteFuture();
+    next_tick_ = absl::InfiniteFuture();
     Tick(now);
   });
 }
--- a/src/gateway/group_link.h
+++ b/src/gateway/group_link.h
@@ -1,5 +1,5 @@
-// Joins what this host asks of groups' dispatchers and the dispatchers that it
-// has itself, and packs what goes to other hosts into datagrams.
+// Connects the group client and the group dispatchers of this host and packs
+// their messages to peers into datagrams.
 
 #ifndef GENTIANLB_GATEWAY_GROUP_LINK_H_
 #define GENTIANLB_GATEWAY_GROUP_LINK_H_
@@ -19,15 +19,17 @@
 namespace gentianlb::gateway {
 
 struct GroupLinkHooks {
+  // As in GroupClientHooks.
   std::function<void(const ServiceId& service, const schedule::Event& event)>
       notify_local_dispatcher;
   std::function<void(const schedule::Decision& decision)> decide;
+  // Sends a datagram to a peer.
   std::function<void(const EntryHostId& host, std::string_view bytes)> send;
-  // Calls it once this round of the loop is over.
+  // Runs `closure` after the current iteration of the event loop.
   std::function<void(std::function<void()> closure)> defer;
 };
 
-// Not thread-safe: owned by the loop's thread.
+// Not thread-safe: owned by the event loop's thread.
 class GroupLink {
  public:
   GroupLink(EntryHostId self, const ServiceQueueOptions& options,
@@ -40,43 +42,45 @@
   void SetServers(const Service& service,
                   const std::vector<ServerEntry>& servers);
 
-  // As GroupClient::OnEvent().
+  // See GroupClient::OnEvent().
   bool OnEvent(const ServiceId& service, const schedule::Event& event);
 
-  // A datagram of another host.
+  // Handles a datagram of a peer.
   void HandleDatagram(std::string_view bytes);
-  // Hosts that may dispatch.
+  // Sets the hosts that may dispatch.
   void SetDispatchers(const std::vector<HostEntry>& hosts) {
-    hosts_.Set(hosts);
+    selector_.SetHosts(hosts);
   }
-  // What all other hosts have running.
+  // Updates the requests that all peers have running, by server.
   void SetPeerUses(const absl::flat_hash_map<NameHash, ServerUse>& uses);
-  // From now on no group falls to this host.
-  void Drain() { hosts_.Drain(); }
+  // Stops assigning groups to this host.
+  void Drain() { selector_.Drain(); }
 
   int GrantedOn(const ServerId& server) const {
     return client_.GrantedOn(server);
   }
+  // Returns the number of malformed datagrams.
   std::uint64_t malformed() const { return malformed_; }
 
  private:
   GroupMessage& Outgoing(const EntryHostId& host);
   void Flush();
-  void Arm();
+  void ScheduleTick();
   void Tick(absl::Time now);
 
   const EntryHostId self_;
   TimerService* const timers_;
   const std::function<absl::Time()> clock_;
   const GroupLinkHooks hooks_;
-  GroupHosts hosts_;
+  DispatcherSelector selector_;
   GroupClient client_;
   GroupDispatchers dispatchers_;
   std::map<EntryHostId, GroupMessage> outgoing_;
-  bool flushing_ = false;  // A flush is due after this round.
+  bool flush_pending_ = false;  // Flush() is deferred.
   TimerId tick_ = 0;
-  absl::Time tick_at_ = absl::InfiniteFuture();
+  absl::Time next_tick_ = absl::InfiniteFuture();
   std::uint64_t malformed_ = 0;
+  // Expires with this object; deferred closures check it.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/src/gateway/group_link_test.cc
+++ b/src/gateway/group_link_test.cc
@@ -1,5 +1,6 @@
-// Entry hosts and the dispatchers of groups, over a network that loses, doubles
-// and delays, with hosts that freeze, die and are cut off.
+// Tests entry hosts and the dispatchers of groups over a network that loses,
+// duplicates and delays datagrams, with hosts that freeze, die and are
+// partitioned.
 
 #include "gateway/group_link.h"
 
@@ -12,225 +13,230 @@
 
 using Host = GroupSite::Host;
 
-// Two hosts have requests for the same two streams. Each for itself would see
-// free streams and send; the server would queue what urgent work waits behind.
-BOOST_AUTO_TEST_CASE(AServerGetsNoMoreThanItsStreamsFromAllHosts) {
+// Several hosts have requests for the same few streams. If each host dispatched
+// alone, each would see free streams, and the server would queue requests in
+// front of urgent ones.
+BOOST_AUTO_TEST_CASE(HostsTogetherNeverExceedServerStreams) {
   GroupSite site(8, 2, 2);
-  std::vector<std::pair<std::string, RequestId>> asked;
+  std::vector<std::pair<std::string, RequestId>> submitted;
   for (int i = 0; i < 16; ++i) {
     const std::string host = "h" + std::to_string(i % 8);
-    asked.emplace_back(host, site.Ask(host));
+    submitted.emplace_back(host, site.Submit(host));
   }
-  site.Pass(absl::Milliseconds(50));
+  site.Advance(absl::Milliseconds(50));
   BOOST_TEST(site.Granted("s0") == 2);
   BOOST_TEST(site.Granted("s1") == 2);
-  for (const auto& [host, id] : asked) {
-    BOOST_TEST(!site.hosts.at(host).alone.contains(id));
+  for (const auto& [host, id] : submitted) {
+    BOOST_TEST(!site.hosts.at(host).local.contains(id));
   }
 }
 
-// A batch waits at one host and urgent work at another. The stream that comes
-// free goes to the urgent one, wherever the request that ended there was from;
-// ordered by each host for itself, the batch got it half of the time.
-BOOST_AUTO_TEST_CASE(UrgentWorkOfAnotherHostComesFirst) {
+// A batch request waits at one host and an urgent request at another. A stream
+// that becomes free goes to the urgent request, whichever host's request
+// finished on it. When each host dispatched alone, the batch request got it
+// half of the time.
+BOOST_AUTO_TEST_CASE(UrgentRequestOfAnotherHostIsGrantedFirst) {
   GroupSite site(8, 1, 2);
-  const RequestId first = site.Ask("h1");
-  site.Ask("h1");
-  site.Pass(absl::Milliseconds(20));
-  const RequestId batch = site.Ask("h1", /*rank=*/2);
-  site.Pass(absl::Milliseconds(20));
-  const RequestId urgent = site.Ask("h2", /*rank=*/0);
-  site.Pass(absl::Milliseconds(20));
-  site.End("h1", first);
-  site.Pass(absl::Milliseconds(20));
-  BOOST_TEST(site.hosts.at("h2").Got(urgent));
-  BOOST_TEST(!site.hosts.at("h1").decided.contains(batch));
+  const RequestId first = site.Submit("h1");
+  site.Submit("h1");
+  site.Advance(absl::Milliseconds(20));
+  const RequestId batch = site.Submit("h1", /*rank=*/2);
+  site.Advance(absl::Milliseconds(20));
+  const RequestId urgent = site.Submit("h2", /*rank=*/0);
+  site.Advance(absl::Milliseconds(20));
+  site.FinishRequest("h1", first);
+  site.Advance(absl::Milliseconds(20));
+  BOOST_TEST(site.hosts.at("h2").IsGranted(urgent));
+  BOOST_TEST(!site.hosts.at("h1").outcomes.contains(batch));
 }
 
-// The dispatcher's host freezes. Callers of the others must not wait for it:
-// what was asked is decided by their own hosts within some milliseconds, and
-// what comes next is asked of another host at once.
-BOOST_AUTO_TEST_CASE(AFrozenDispatcherDelaysNobodyForLong) {
+// The host of the dispatcher freezes. Callers of the other hosts must not wait
+// for it: their own hosts decide requests already submitted to it within some
+// milliseconds, and later requests go to another dispatcher at once.
+BOOST_AUTO_TEST_CASE(FrozenDispatcherDelaysRequestsOnlyBriefly) {
   GroupSite site(8, 4, 4);
   const std::string dispatcher = site.Dispatcher();
   site.hosts.at(dispatcher).frozen = true;
   for (auto& [name, host] : site.hosts) {
     if (name == dispatcher) continue;
-    const RequestId id = site.Ask(name);
-    // A tenth of the objective, and until it is looked at.
-    site.Pass(GroupSite::kObjective / 10 + absl::Milliseconds(6));
-    BOOST_TEST((host.alone.contains(id) || host.Got(id)));
-    const RequestId next = site.Ask(name);
-    site.Pass(absl::Milliseconds(15));
-    BOOST_TEST(host.Got(next));
+    const RequestId id = site.Submit(name);
+    // A tenth of the objective plus one tick of the client.
+    site.Advance(GroupSite::kObjective / 10 + absl::Milliseconds(6));
+    BOOST_TEST((host.local.contains(id) || host.IsGranted(id)));
+    const RequestId next = site.Submit(name);
+    site.Advance(absl::Milliseconds(15));
+    BOOST_TEST(host.IsGranted(next));
   }
 }
 
-// Requests wait at the dispatcher when its host is killed. They are taken back.
-BOOST_AUTO_TEST_CASE(WhatWaitsAtALostDispatcherIsTakenBack) {
+// The host of the dispatcher is killed while requests are queued there. Their
+// own hosts reclaim them.
+BOOST_AUTO_TEST_CASE(RequestsQueuedAtLostDispatcherAreReclaimed) {
   GroupSite site(8, 1, 1);
   const std::string dispatcher = site.Dispatcher();
   const std::string other = dispatcher == "h1" ? "h2" : "h1";
-  site.Ask(other);
-  const RequestId waits = site.Ask(other);
-  site.Pass(absl::Milliseconds(50));
+  site.Submit(other);
+  const RequestId queued = site.Submit(other);
+  site.Advance(absl::Milliseconds(50));
   Host& host = site.hosts.at(other);
-  BOOST_TEST(!host.alone.contains(waits));
-  BOOST_TEST(!host.decided.contains(waits));
+  BOOST_TEST(!host.local.contains(queued));
+  BOOST_TEST(!host.outcomes.contains(queued));
   site.hosts.at(dispatcher).frozen = true;
-  site.Pass(absl::Milliseconds(250));
-  BOOST_TEST(host.alone.contains(waits));
+  site.Advance(absl::Milliseconds(250));
+  BOOST_TEST(host.local.contains(queued));
 }
 
-// A host is killed with requests on servers. Its ends are never told, and the
-// dispatcher must not take the streams for busy until the deadlines: servers
-// would stand idle while callers of other hosts are refused.
-BOOST_AUTO_TEST_CASE(StreamsOfALostHostComeFree) {
+// A host with requests on servers is killed and never reports them as finished.
+// The dispatcher must not count their streams as busy until the deadlines:
+// servers would idle while callers of other hosts are refused.
+BOOST_AUTO_TEST_CASE(StreamsOfLostHostAreFreed) {
   GroupSite site(8, 1, 2);
   const std::string dispatcher = site.Dispatcher();
   const std::string killed = dispatcher == "h1" ? "h2" : "h1";
   const std::string other = dispatcher == "h3" ? "h4" : "h3";
-  site.Ask(killed, 0, absl::Minutes(1));
-  site.Ask(killed, 0, absl::Minutes(1));
-  site.Pass(absl::Milliseconds(50));
-  BOOST_TEST(site.hosts.at(killed).decided.size() == 2u);
-  site.Start(killed);  // Anew, and without memory.
+  site.Submit(killed, 0, absl::Minutes(1));
+  site.Submit(killed, 0, absl::Minutes(1));
+  site.Advance(absl::Milliseconds(50));
+  BOOST_TEST(site.hosts.at(killed).outcomes.size() == 2u);
+  site.Start(killed);  // Restarted without state.
   site.hosts.at(killed).frozen = true;
-  site.Pass(absl::Seconds(3));
-  const RequestId next = site.Ask(other);
-  site.Pass(absl::Milliseconds(50));
-  BOOST_TEST(site.hosts.at(other).Got(next));
+  site.Advance(absl::Seconds(3));
+  const RequestId next = site.Submit(other);
+  site.Advance(absl::Milliseconds(50));
+  BOOST_TEST(site.hosts.at(other).IsGranted(next));
 }
 
-// The network doubles the datagram that asks for a stream. Taken for another
-// request, it would seem to wait while it runs: the dispatcher would tell its
-// host forty times a second that it is alive, and take its answer for none.
-BOOST_AUTO_TEST_CASE(ADoubledAskingTakesOneStream) {
+// The network duplicates the datagram that submits a request. If the dispatcher
+// took the copy for another request, the request would be recorded as queued
+// while it runs: the dispatcher would send its host forty heartbeats per second
+// and treat the end of the request as a disconnected caller.
+BOOST_AUTO_TEST_CASE(DuplicatedSubmissionTakesOneStream) {
   GroupSite site(8, 1, 2);
   const std::string dispatcher = site.Dispatcher();
-  const std::string one = dispatcher == "h1" ? "h2" : "h1";
+  const std::string requester = dispatcher == "h1" ? "h2" : "h1";
   const std::string other = dispatcher == "h3" ? "h4" : "h3";
-  site.Ask(other);
-  site.Pass(absl::Milliseconds(20));
-  // The last free stream, and one more that waits behind it, both asked twice.
-  site.doubled_percent = 100;
-  const RequestId runs = site.Ask(one);
-  const RequestId waits = site.Ask(one);
-  site.Pass(absl::Milliseconds(20));
-  BOOST_TEST(site.hosts.at(one).Got(runs));
-  site.doubled_percent = 0;
-  site.End(one, runs);
-  site.Pass(absl::Milliseconds(20));
-  BOOST_TEST(site.hosts.at(one).Got(waits));
-  // All runs and nothing waits: a list of open requests twice a second from
-  // each of two hosts.
+  site.Submit(other);
+  site.Advance(absl::Milliseconds(20));
+  // Takes the last free stream and queues a request behind it, both submitted
+  // twice.
+  site.duplicated_percent = 100;
+  const RequestId granted = site.Submit(requester);
+  const RequestId queued = site.Submit(requester);
+  site.Advance(absl::Milliseconds(20));
+  BOOST_TEST(site.hosts.at(requester).IsGranted(granted));
+  site.duplicated_percent = 0;
+  site.FinishRequest(requester, granted);
+  site.Advance(absl::Milliseconds(20));
+  BOOST_TEST(site.hosts.at(requester).IsGranted(queued));
+  // All requests run and none is queued: each of two hosts sends its list of
+  // open requests twice per second.
   const int sent = site.sent;
-  site.Pass(absl::Seconds(1));
+  site.Advance(absl::Seconds(1));
   BOOST_TEST(site.sent - sent <= 6);
-  site.End(one, waits);
-  site.Pass(absl::Milliseconds(20));
-  const RequestId next = site.Ask(other);
-  site.Pass(absl::Milliseconds(20));
-  BOOST_TEST(site.hosts.at(other).Got(next));
+  site.FinishRequest(requester, queued);
+  site.Advance(absl::Milliseconds(20));
+  const RequestId next = site.Submit(other);
+  site.Advance(absl::Milliseconds(20));
+  BOOST_TEST(site.hosts.at(other).IsGranted(next));
 }
 
-// An answer comes later than its host waited: the request was decided there by
-// then. The dispatcher hears so, and gives the stream to another at once; it
-// would else be idle until the next list of open requests, most of a second.
-BOOST_AUTO_TEST_CASE(AGrantThatCameTooLateIsGivenBack) {
+// A grant arrives after its host has stopped waiting and has dispatched the
+// request locally. The dispatcher is notified and gives the stream to another
+// request at once. Otherwise the stream would idle until the next list of open
+// requests, for most of a second.
+BOOST_AUTO_TEST_CASE(LateGrantIsReturned) {
   GroupSite site(8, 1, 1);
   const std::string dispatcher = site.Dispatcher();
-  const std::string one = dispatcher == "h1" ? "h2" : "h1";
+  const std::string requester = dispatcher == "h1" ? "h2" : "h1";
   const std::string other = dispatcher == "h3" ? "h4" : "h3";
-  // The dispatcher stands still for longer than an answer is awaited, and what
-  // tells it that the request was taken back is lost.
-  const RequestId late = site.Ask(one);
-  site.Pass(GroupSite::kStep);
+  // The dispatcher freezes for longer than the answer timeout, and the datagram
+  // that reports the reclaimed request is lost.
+  const RequestId late = site.Submit(requester);
+  site.Advance(GroupSite::kStep);
   site.hosts.at(dispatcher).frozen = true;
-  site.broken = {{one, dispatcher}};
-  site.Pass(absl::Milliseconds(60));
-  BOOST_TEST(site.hosts.at(one).alone.contains(late));
-  site.broken.clear();
+  site.broken_links = {{requester, dispatcher}};
+  site.Advance(absl::Milliseconds(60));
+  BOOST_TEST(site.hosts.at(requester).local.contains(late));
+  site.broken_links.clear();
   site.hosts.at(dispatcher).frozen = false;
-  site.Pass(absl::Milliseconds(10));
-  const RequestId next = site.Ask(other);
-  site.Pass(absl::Milliseconds(20));
-  BOOST_TEST(site.hosts.at(other).Got(next));
+  site.Advance(absl::Milliseconds(10));
+  const RequestId next = site.Submit(other);
+  site.Advance(absl::Milliseconds(20));
+  BOOST_TEST(site.hosts.at(other).IsGranted(next));
 }
 
-// A host is cut off from the others. It serves what it can by itself, and the
-// others go on.
-BOOST_AUTO_TEST_CASE(BothSidesOfACutAreServed) {
+// Some hosts are partitioned from the others. Both sides still serve requests.
+BOOST_AUTO_TEST_CASE(BothSidesOfPartitionServeRequests) {
   GroupSite site(8, 4, 4);
-  site.cut = {"h0", "h5"};
-  site.Pass(absl::Seconds(2));
+  site.partition = {"h0", "h5"};
+  site.Advance(absl::Seconds(2));
   for (auto& [name, host] : site.hosts) {
-    const RequestId id = site.Ask(name);
-    site.Pass(absl::Milliseconds(40));
-    BOOST_TEST((host.Got(id) || host.alone.contains(id)), name);
+    const RequestId id = site.Submit(name);
+    site.Advance(absl::Milliseconds(40));
+    BOOST_TEST((host.IsGranted(id) || host.local.contains(id)), name);
   }
 }
 
-// A connection to the server that was granted can't be made. Certainly nothing
-// ran there, and another server is chosen.
-BOOST_AUTO_TEST_CASE(WhatWasNotSentIsGrantedElsewhere) {
+// The connection to the granted server fails, so the server has not executed
+// the request, and another server is granted.
+BOOST_AUTO_TEST_CASE(UnsentRequestIsGrantedAnotherServer) {
   GroupSite site(8, 2, 2);
-  const RequestId id = site.Ask("h1");
-  site.Pass(absl::Milliseconds(20));
+  const RequestId id = site.Submit("h1");
+  site.Advance(absl::Milliseconds(20));
   Host& host = site.hosts.at("h1");
-  const std::string first = host.decided.at(id);
-  site.End("h1", id, schedule::EndKind::kNotSent);
-  site.Pass(absl::Milliseconds(20));
-  BOOST_TEST(host.decided.at(id) != first);
+  const std::string first = host.outcomes.at(id);
+  site.FinishRequest("h1", id, schedule::EndKind::kNotSent);
+  site.Advance(absl::Milliseconds(20));
+  BOOST_TEST(host.outcomes.at(id) != first);
   BOOST_TEST(host.decisions.at(id) == 2);
 }
 
-// Another host becomes the dispatcher while requests run. It is told of them,
-// or it would fill the servers a second time.
-BOOST_AUTO_TEST_CASE(ANewDispatcherKnowsWhatRuns) {
+// Another host becomes the dispatcher while requests run. It must be notified
+// of them; otherwise it would overfill the servers.
+BOOST_AUTO_TEST_CASE(NewDispatcherLearnsOfRunningRequests) {
   GroupSite site(8, 1, 2);
   const std::string before = site.Dispatcher();
   const std::string other = before == "h1" ? "h2" : "h1";
-  site.Ask(other);
-  site.Ask(other);
-  site.Pass(absl::Milliseconds(50));
+  site.Submit(other);
+  site.Submit(other);
+  site.Advance(absl::Milliseconds(50));
   site.hosts.at(before).frozen = true;
-  site.Pass(absl::Seconds(2));
+  site.Advance(absl::Seconds(2));
   const std::string third = before == "h3" ? "h4" : "h3";
-  const RequestId waits = site.Ask(third);
-  site.Pass(absl::Milliseconds(100));
+  const RequestId queued = site.Submit(third);
+  site.Advance(absl::Milliseconds(100));
   const Host& host = site.hosts.at(third);
-  BOOST_TEST(!host.decided.contains(waits));
-  BOOST_TEST(!host.alone.contains(waits));
+  BOOST_TEST(!host.outcomes.contains(queued));
+  BOOST_TEST(!host.local.contains(queued));
 }
 
-// Datagrams are lost, doubled and overtake each other. Each request is decided
-// once, by the dispatcher or by its own host, soon after it was asked; and what
-// was lost doesn't keep streams taken.
-BOOST_AUTO_TEST_CASE(EachRequestIsDecidedOnceOverABadNetwork) {
+// Datagrams are lost, duplicated and reordered. Each request is decided once,
+// by the dispatcher or by its own host, soon after its submission, and lost
+// datagrams don't keep streams occupied.
+BOOST_AUTO_TEST_CASE(EachRequestIsDecidedOnceOverLossyNetwork) {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     GroupSite site(4, 2, 4);
     site.random.seed(seed);
-    site.slowest_ms = 1 + seed;
+    site.max_delay_ms = 1 + seed;
     site.lost_percent = seed;
-    site.doubled_percent = seed;
+    site.duplicated_percent = seed;
     std::vector<std::tuple<absl::Time, std::string, RequestId>> running;
     for (int i = 0; i < 200; ++i) {
       const std::string name = "h" + std::to_string(i % 4);
       Host& host = site.hosts.at(name);
-      const RequestId id = site.Ask(name, 0, absl::Milliseconds(400));
-      site.Pass(absl::Milliseconds(10));
+      const RequestId id = site.Submit(name, 0, absl::Milliseconds(400));
+      site.Advance(absl::Milliseconds(10));
       running.emplace_back(site.now + absl::Milliseconds(40), name, id);
-      for (const auto& [due, at, ending] : running) {
-        if (due <= site.now) site.End(at, ending);
+      for (const auto& [due, origin, finished_id] : running) {
+        if (due <= site.now) site.FinishRequest(origin, finished_id);
       }
-      std::erase_if(running, [&](const auto& one) {
-        return std::get<0>(one) <= site.now;
+      std::erase_if(running, [&](const auto& entry) {
+        return std::get<0>(entry) <= site.now;
       });
       BOOST_TEST(host.decisions[id] <= 1);
     }
-    for (const auto& [due, at, ending] : running) site.End(at, ending);
-    site.Pass(absl::Seconds(5));
+    for (const auto& [due, host, id] : running) site.FinishRequest(host, id);
+    site.Advance(absl::Seconds(5));
     for (const auto& [name, host] : site.hosts) {
       for (const auto& [id, count] : host.decisions) BOOST_TEST(count <= 1);
     }
@@ -239,12 +245,12 @@
     std::vector<RequestId> last;
     last.reserve(8);
     site.lost_percent = 0;
-    site.slowest_ms = 1;
-    for (int i = 0; i < 8; ++i) last.push_back(site.Ask("h1"));
-    site.Pass(absl::Milliseconds(100));
+    site.max_delay_ms = 1;
+    for (int i = 0; i < 8; ++i) last.push_back(site.Submit("h1"));
+    site.Advance(absl::Milliseconds(100));
     int granted = 0;
     for (const RequestId& id : last) {
-      granted += site.hosts.at("h1").Got(id) ? 1 : 0;
+      granted += site.hosts.at("h1").IsGranted(id) ? 1 : 0;
     }
     BOOST_TEST(granted == 8, "seed " << seed);
   }
--- a/src/gateway/group_messages.cc
+++ b/src/gateway/group_messages.cc
@@ -8,16 +8,16 @@
 namespace gentianlb::gateway {
 namespace {
 
-constexpr std::string_view kMark = "GG1";
+constexpr std::string_view kMagic = "GG1";
 
 using schedule::EndKind;
 
-// Times are told as so many of these microseconds from now: fine against the
-// milliseconds that a datagram takes, and six hours fit into 32 bits.
-constexpr std::int64_t kUnit = 10;
+// Unit of the encoded durations. It is fine compared with the milliseconds that
+// a datagram takes, and six hours fit into 32 bits.
+constexpr std::int64_t kTimeUnitMicroseconds = 10;
 
-// No request lasts longer; a larger span stands for none.
-constexpr std::int32_t kNever = INT32_MAX;
+// Encodes absl::InfiniteFuture(). No request lasts as long as this value.
+constexpr std::int32_t kInfiniteSpan = INT32_MAX;
 
 class Writer {
  public:
@@ -25,26 +25,27 @@
 
   void Put(const GroupMessage& message) {
     WriteText(writer_, message.from.str());
-    WriteList(writer_, message.events, [&](const ToGroup& to) {
-      writer_(to.group.service, to.group.group,
-              static_cast<std::uint8_t>(to.event.index()));
-      std::visit([&](const auto& event) { Put(event); }, to.event);
+    WriteList(writer_, message.events, [&](const AddressedEvent& item) {
+      writer_(item.group.service, item.group.group,
+              static_cast<std::uint8_t>(item.event.index()));
+      std::visit([&](const auto& event) { Put(event); }, item.event);
     });
     WriteList(writer_, message.answers, [&](const GroupAnswer& answer) {
       writer_(static_cast<std::uint8_t>(answer.index()));
-      std::visit([&](const auto& one) { Put(one); }, answer);
+      std::visit([&](const auto& alternative) { Put(alternative); }, answer);
     });
-    WriteList(writer_, message.rooms, [&](const GroupRoom& room) {
-      writer_(room.group.service, room.group.group, room.streams);
+    WriteList(writer_, message.capacities, [&](const GroupCapacity& capacity) {
+      writer_(capacity.group.service, capacity.group.group,
+              capacity.free_streams);
     });
   }
 
  private:
   void PutTime(absl::Time time) {
-    std::int32_t span = kNever;
+    std::int32_t span = kInfiniteSpan;
     if (time != absl::InfiniteFuture()) {
       span = static_cast<std::int32_t>(absl::ToInt64Microseconds(time - now_) /
-                                       kUnit);
+                                       kTimeUnitMicroseconds);
     }
     writer_(span);
   }
@@ -98,7 +99,7 @@
             static_cast<std::int32_t>(
                 absl::ToInt64Milliseconds(refusal.retry_after)));
   }
-  void Put(const RequestWaits& waits) { WriteText(writer_, waits.id.str()); }
+  void Put(const RequestQueued& queued) { WriteText(writer_, queued.id.str()); }
 
   WireWriter writer_;
   absl::Time now_;
@@ -110,35 +111,36 @@
 
   void Get(GroupMessage* message) {
     GetId(&message->from);
-    ReadList(reader_, &message->events, [&](ToGroup& to) {
+    ReadList(reader_, &message->events, [&](AddressedEvent& item) {
       std::uint8_t kind = 0;
-      reader_(to.group.service, to.group.group, kind);
-      GetOneOf(kind, &to.event);
+      reader_(item.group.service, item.group.group, kind);
+      GetVariant(kind, &item.event);
     });
     ReadList(reader_, &message->answers, [&](GroupAnswer& answer) {
       std::uint8_t kind = 0;
       reader_(kind);
-      GetOneOf(kind, &answer);
+      GetVariant(kind, &answer);
     });
-    ReadList(reader_, &message->rooms, [&](GroupRoom& room) {
-      reader_(room.group.service, room.group.group, room.streams);
+    ReadList(reader_, &message->capacities, [&](GroupCapacity& capacity) {
+      reader_(capacity.group.service, capacity.group.group,
+              capacity.free_streams);
     });
   }
 
  private:
-  // Reads the alternative of number `kind`.
+  // Reads the variant alternative with index `kind`.
   template <typename... Types>
-  void GetOneOf(std::uint8_t kind, std::variant<Types...>* one) {
+  void GetVariant(std::uint8_t kind, std::variant<Types...>* result) {
     std::size_t i = 0;
     bool read = false;
-    const auto read_one = [&]<typename Type>(Type value) {
+    const auto read_alternative = [&]<typename Type>(Type value) {
       if (i++ != kind) return;
       Get(&value);
-      *one = std::move(value);
+      *result = std::move(value);
       read = true;
     };
-    (read_one(Types()), ...);
-    if (!read) throw std::out_of_range("an unknown kind");
+    (read_alternative(Types()), ...);
+    if (!read) throw std::out_of_range("unknown variant index");
   }
 
   template <typename IdType>
@@ -158,8 +160,9 @@
   void GetTime(absl::Time* time) {
     std::int32_t span = 0;
     reader_(span);
-    *time = span == kNever ? absl::InfiniteFuture()
-                           : now_ + absl::Microseconds(kUnit * span);
+    *time = span == kInfiniteSpan
+                ? absl::InfiniteFuture()
+                : now_ + absl::Microseconds(kTimeUnitMicroseconds * span);
   }
 
   void Get(schedule::Request* request) {
@@ -195,7 +198,7 @@
     GetId(&event->id);
     GetNumber<std::uint8_t>(&event->kind);
     if (event->kind > EndKind::kCancelled) {
-      throw std::out_of_range("an unknown end");
+      throw std::out_of_range("unknown end kind");
     }
     GetNumber<std::int32_t>(&event->output_tokens);
   }
@@ -213,7 +216,7 @@
     reader_(milliseconds);
     refusal->retry_after = absl::Milliseconds(milliseconds);
   }
-  void Get(RequestWaits* waits) { GetId(&waits->id); }
+  void Get(RequestQueued* queued) { GetId(&queued->id); }
 
   WireReader reader_;
   absl::Time now_;
@@ -223,23 +226,25 @@
 
 std::string Encode(const GroupMessage& message, absl::Time now) {
   std::ostringstream out;
-  out << kMark;
+  out << kMagic;
   Writer(out, now).Put(message);
   return out.str();
 }
 
-bool IsGroupMessage(std::string_view bytes) { return bytes.starts_with(kMark); }
+bool IsGroupMessage(std::string_view bytes) {
+  return bytes.starts_with(kMagic);
+}
 
 std::optional<GroupMessage> DecodeGroupMessage(std::string_view bytes,
                                                absl::Time now) {
   if (!IsGroupMessage(bytes)) return std::nullopt;
-  bytes.remove_prefix(kMark.size());
+  bytes.remove_prefix(kMagic.size());
   std::istringstream in{std::string(bytes)};
   GroupMessage message;
   try {
     Reader(in, now).Get(&message);
   } catch (const std::exception&) {
-    return std::nullopt;  // Whoever takes messages in counts these.
+    return std::nullopt;  // The caller counts malformed messages.
   }
   return message;
 }
--- a/src/gateway/group_messages.h
+++ b/src/gateway/group_messages.h
@@ -1,8 +1,10 @@
-// What entry hosts and the dispatchers of groups of servers tell each other.
+// Messages between entry hosts and the dispatchers of groups of backend
+// servers.
 //
-// A group is a part of a service's servers; one host dispatches for it. The
-// events and decisions are those of schedule/messages.h. Times travel as spans,
-// since hosts' clocks differ and may be set.
+// A group is a subset of the servers of a service, and one host dispatches for
+// it. The events and decisions are those of schedule/messages.h. Times are sent
+// as durations relative to the time of sending, because the clocks of hosts
+// differ and may be adjusted.
 
 #ifndef GENTIANLB_GATEWAY_GROUP_MESSAGES_H_
 #define GENTIANLB_GATEWAY_GROUP_MESSAGES_H_
@@ -31,51 +33,54 @@
   }
 };
 
-// All requests of the sender that the dispatcher of a group is taken to have:
-// they wait there, or it has granted them. What it has besides ended unheard.
+// All requests of the sender that the dispatcher of a group should have, either
+// queued or granted. A request that the dispatcher has but that is not listed
+// has finished, and the message about it was lost.
 struct OpenRequests {
   std::vector<RequestId> ids;
 };
 
-// To the dispatcher of a group.
+// An event that a host sends to the dispatcher of a group.
 using GroupEvent =
     std::variant<schedule::RequestArrived, schedule::RequestRunning,
                  schedule::CallerGone, schedule::TokensStreamed,
                  schedule::RequestEnded, OpenRequests>;
 
-struct ToGroup {
+struct AddressedEvent {
   GroupKey group;
   GroupEvent event;
 };
 
-// The request has come in, and waits there for its turn.
-struct RequestWaits {
+// Acknowledges that the dispatcher has received and queued the request.
+struct RequestQueued {
   RequestId id;
-  bool operator==(const RequestWaits&) const = default;
+  bool operator==(const RequestQueued&) const = default;
 };
 
 using GroupAnswer =
-    std::variant<schedule::Grant, schedule::Refuse, RequestWaits>;
+    std::variant<schedule::Grant, schedule::Refuse, RequestQueued>;
 
-// Streams that are free in a group, less the requests that wait there.
-struct GroupRoom {
+// The free capacity of a group: free streams minus queued requests.
+struct GroupCapacity {
   GroupKey group;
-  std::int16_t streams = 0;
-  auto operator<=>(const GroupRoom&) const = default;
+  std::int16_t free_streams = 0;
+  auto operator<=>(const GroupCapacity&) const = default;
 };
 
-// One datagram. One without any content tells that its sender is alive.
+// The content of one datagram. An empty message serves as a heartbeat.
 struct GroupMessage {
   EntryHostId from;
-  std::vector<ToGroup> events;
+  std::vector<AddressedEvent> events;
   std::vector<GroupAnswer> answers;
-  std::vector<GroupRoom> rooms;
+  std::vector<GroupCapacity> capacities;
 };
 
-// Spans are counted from `now`.
+// Encodes `message` with its times relative to `now`.
 std::string Encode(const GroupMessage& message, absl::Time now);
+// Returns whether `bytes` starts with the magic of a group message.
 bool IsGroupMessage(std::string_view bytes);
-// None when the bytes are cut or foreign.
+// Decodes a message with its times relative to `now`. Returns nullopt if the
+// bytes are truncated or not a group message.
 std::optional<GroupMessage> DecodeGroupMessage(std::string_view bytes,
                                                absl::Time now);
 
--- a/src/gateway/group_site_test.h
+++ b/src/gateway/group_site_test.h
@@ -1,5 +1,5 @@
-// Entry hosts that dispatch for each other, with a network that delays and
-// loses their datagrams, in virtual time, for the tests of groups.
+// Test harness: entry hosts that dispatch for each other in virtual time, over
+// a simulated network that delays and loses datagrams.
 
 #ifndef GENTIANLB_GATEWAY_GROUP_SITE_TEST_H_
 #define GENTIANLB_GATEWAY_GROUP_SITE_TEST_H_
@@ -22,7 +22,7 @@
   static constexpr absl::Duration kStep = absl::Milliseconds(1);
   static constexpr absl::Duration kObjective = absl::Milliseconds(360);
 
-  // `count` hosts and `servers` servers of `streams` each.
+  // Creates `count` hosts and `servers` servers with `streams` streams each.
   GroupSite(int count, int servers, int streams) {
     service.id = ServiceId("llm");
     service.engine = EngineSpec{};
@@ -36,25 +36,25 @@
       entries.push_back(entry);
     }
     for (int i = 0; i < count; ++i) Start("h" + std::to_string(i));
-    TellNews();
+    SendUpdates();
   }
 
   struct Host {
     EntryHostId id;
     std::unique_ptr<GroupLink> link;
-    // Decided here, and what became of it: a server's id, or "refused".
-    std::map<RequestId, std::string> decided;
-    std::set<RequestId> alone;  // Taken back, to be decided here.
+    // The decision on each request: the id of the granted server, or "refused".
+    std::map<RequestId, std::string> outcomes;
+    std::set<RequestId> local;  // Reclaimed or never submitted.
     std::map<RequestId, int> decisions;
     std::vector<std::function<void()>> deferred;
-    // Whether a dispatcher has granted it a server; a refusal is none.
-    bool Got(const RequestId& request) const {
-      const auto found = decided.find(request);
-      return found != decided.end() && found->second != "refused";
+    // Returns whether a dispatcher has granted the request a server.
+    bool IsGranted(const RequestId& request) const {
+      const auto found = outcomes.find(request);
+      return found != outcomes.end() && found->second != "refused";
     }
-    bool frozen = false;  // Takes in nothing, and sends nothing.
-    // By each other host, when it heard of this one last.
-    std::map<std::string, absl::Time> heard_by;
+    bool frozen = false;  // Receives and sends nothing.
+    // When each other host last received an update of this host.
+    std::map<std::string, absl::Time> last_update_at;
   };
 
   Host& Start(const std::string& name) {
@@ -66,23 +66,24 @@
     hooks.notify_local_dispatcher = [self](const ServiceId&,
                                            const schedule::Event& event) {
       const auto* arrived = std::get_if<schedule::RequestArrived>(&event);
-      if (arrived != nullptr) self->alone.insert(arrived->request.id);
+      if (arrived != nullptr) self->local.insert(arrived->request.id);
     };
     hooks.decide = [self](const schedule::Decision& decision) {
       if (const auto* grant = std::get_if<schedule::Grant>(&decision)) {
-        self->decided[grant->id] = grant->server.str();
+        self->outcomes[grant->id] = grant->server.str();
         ++self->decisions[grant->id];
-      } else if (const auto* no = std::get_if<schedule::Refuse>(&decision)) {
-        self->decided[no->id] = "refused";
-        ++self->decisions[no->id];
+      } else if (const auto* refusal =
+                     std::get_if<schedule::Refuse>(&decision)) {
+        self->outcomes[refusal->id] = "refused";
+        ++self->decisions[refusal->id];
       }
     };
     hooks.send = [this, name](const EntryHostId& to, std::string_view bytes) {
       ++sent;
-      if (hosts.at(name).frozen || Loses(name, to.str())) return;
-      flying_.push_back({now + absl::Milliseconds(1 + random() % slowest_ms),
-                         to.str(), std::string(bytes)});
-      if (random() % 100 < doubled_percent) flying_.push_back(flying_.back());
+      if (hosts.at(name).frozen || IsLost(name, to.str())) return;
+      wire_.push_back({now + absl::Milliseconds(1 + random() % max_delay_ms),
+                       to.str(), std::string(bytes)});
+      if (random() % 100 < duplicated_percent) wire_.push_back(wire_.back());
     };
     hooks.defer = [self](std::function<void()> closure) {
       self->deferred.push_back(std::move(closure));
@@ -96,16 +97,16 @@
     return host;
   }
 
-  bool Loses(const std::string& from, const std::string& to) {
-    if (broken.contains({from, to})) return true;
-    if (cut.contains(from) != cut.contains(to)) return true;
+  bool IsLost(const std::string& from, const std::string& to) {
+    if (broken_links.contains({from, to})) return true;
+    if (partition.contains(from) != partition.contains(to)) return true;
     return random() % 100 < lost_percent;
   }
 
-  RequestId Ask(const std::string& host, int rank = 0,
-                absl::Duration deadline = absl::Seconds(5)) {
+  RequestId Submit(const std::string& host, int rank = 0,
+                   absl::Duration deadline = absl::Seconds(5)) {
     schedule::Request request;
-    request.id = RequestId(std::to_string(++asked));
+    request.id = RequestId(std::to_string(++submitted));
     request.host = EntryHostId(host);
     request.workspace = WorkspaceId("w");
     request.model = ModelId("m");
@@ -115,35 +116,35 @@
     request.first_token_due = now + kObjective;
     request.prompt_tokens = 100;
     request.max_output_tokens = 50;
-    Host& at = hosts.at(host);
-    const bool taken =
-        at.link->OnEvent(service.id, schedule::RequestArrived{request});
-    if (!taken) at.alone.insert(request.id);
+    Host& origin = hosts.at(host);
+    const bool handled =
+        origin.link->OnEvent(service.id, schedule::RequestArrived{request});
+    if (!handled) origin.local.insert(request.id);
     return request.id;
   }
 
-  void End(const std::string& host, const RequestId& id,
-           schedule::EndKind kind = schedule::EndKind::kComplete) {
+  void FinishRequest(const std::string& host, const RequestId& id,
+                     schedule::EndKind kind = schedule::EndKind::kComplete) {
     hosts.at(host).link->OnEvent(service.id,
                                  schedule::RequestEnded{id, kind, 50, 0});
   }
 
-  void Pass(absl::Duration span) {
+  void Advance(absl::Duration span) {
     for (const absl::Time end = now + span; now < end;) {
       now += kStep;
       timers.Advance(now);
       Deliver();
       for (auto& [name, host] : hosts) RunDeferred(&host);
-      if ((now - start) % kNewsPeriod == absl::ZeroDuration()) TellNews();
+      if ((now - start) % kUpdatePeriod == absl::ZeroDuration()) SendUpdates();
     }
   }
 
-  // The host that all others take for the dispatcher.
+  // Returns the host that all hosts select as the dispatcher.
   std::string Dispatcher() {
-    GroupHosts view(EntryHostId("h0"));
+    DispatcherSelector view(EntryHostId("h0"));
     std::vector<HostEntry> all;
     for (const auto& [name, host] : hosts) all.push_back({name, "", "z", 1});
-    view.Set(all);
+    view.SetHosts(all);
     return view.DispatcherOf({HashName(service.id.str()), 0}, now).str();
   }
 
@@ -155,24 +156,24 @@
     return granted;
   }
 
-  static constexpr absl::Duration kNewsPeriod = absl::Milliseconds(100);
-  // A host that is silent is told of as a dispatcher for so long.
-  static constexpr absl::Duration kListed = absl::Seconds(1);
+  static constexpr absl::Duration kUpdatePeriod = absl::Milliseconds(100);
+  // An unresponsive host stays listed as a dispatcher for this long.
+  static constexpr absl::Duration kMemberTimeout = absl::Seconds(1);
   const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
   absl::Time now = start;
   TimerService timers;
   std::mt19937 random{1};
-  unsigned slowest_ms = 1;
+  unsigned max_delay_ms = 1;
   unsigned lost_percent = 0;
-  unsigned doubled_percent = 0;
-  std::set<std::string> cut;  // These hear each other, and no other.
-  // Datagrams from one host to another are lost on the way.
-  std::set<std::pair<std::string, std::string>> broken;
+  unsigned duplicated_percent = 0;
+  std::set<std::string> partition;  // These reach only each other.
+  // Links from one host to another that lose all datagrams.
+  std::set<std::pair<std::string, std::string>> broken_links;
   Service service;
   std::vector<ServerEntry> entries;
   std::map<std::string, Host> hosts;
-  int asked = 0;
-  int sent = 0;  // Datagrams.
+  int submitted = 0;
+  int sent = 0;  // Number of datagrams.
 
  private:
   struct Datagram {
@@ -183,11 +184,11 @@
 
   void Deliver() {
     std::vector<Datagram> waiting;
-    waiting.swap(flying_);
+    waiting.swap(wire_);
     for (Datagram& datagram : waiting) {
       Host& host = hosts.at(datagram.to);
       if (datagram.due > now || host.frozen) {
-        flying_.push_back(std::move(datagram));
+        wire_.push_back(std::move(datagram));
       } else {
         host.link->HandleDatagram(datagram.bytes);
       }
@@ -200,28 +201,28 @@
     for (const auto& closure : deferred) closure();
   }
 
-  void TellNews() {
+  void SendUpdates() {
     for (auto& [from, host] : hosts) {
       if (host.frozen) continue;
       for (auto& [to, other] : hosts) {
-        const bool reaches = cut.contains(from) == cut.contains(to);
-        if (reaches && !other.frozen) host.heard_by[to] = now;
+        const bool reaches = partition.contains(from) == partition.contains(to);
+        if (reaches && !other.frozen) host.last_update_at[to] = now;
       }
     }
     for (auto& [to, other] : hosts) {
       std::vector<HostEntry> live;
       for (auto& [from, host] : hosts) {
-        const auto heard = host.heard_by.find(to);
-        const bool lately =
-            heard != host.heard_by.end() && now - heard->second <= kListed;
-        if (lately) live.push_back({from, "", "z", 1});
+        const auto last_update = host.last_update_at.find(to);
+        const bool is_recent = last_update != host.last_update_at.end() &&
+                               now - last_update->second <= kMemberTimeout;
+        if (is_recent) live.push_back({from, "", "z", 1});
       }
       if (!other.frozen) other.link->SetDispatchers(live);
       other.link->SetPeerUses({});
     }
   }
 
-  std::vector<Datagram> flying_;
+  std::vector<Datagram> wire_;
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/groups.cc
+++ b/src/gateway/groups.cc
@@ -8,31 +8,31 @@
 namespace gentianlb::gateway {
 namespace {
 
-// A group's streams. A stream starts some three requests a second, and each
-// costs its dispatcher about 0.05 ms of processor time: 512 streams then take 8
-// parts in 100 of a processor.
+// Target size of a group. A stream starts about three requests per second, and
+// each costs its dispatcher about 0.05 ms of processor time, so that 512
+// streams take 8% of a processor.
 constexpr int kStreamsPerGroup = 512;
 
-// One that didn't answer is asked again after this long: a stall has passed by
-// then, and a host that freezes costs each request that asks it some
+// How long an unresponsive host is not selected. A stall has passed by then,
+// and a frozen host delays each request that is sent to it by some
 // milliseconds.
-constexpr absl::Duration kLeftOut = absl::Seconds(1);
+constexpr absl::Duration kExclusionTime = absl::Seconds(1);
 
-// Only hosts with nearly as much processor as the best one dispatch: a decision
-// that takes 0.1 ms there takes a small host several times as long, and all
-// callers wait for it.
-constexpr double kQuick = 0.75;
+// Only hosts with at least this fraction of the largest processor share
+// dispatch. A decision that takes 0.1 ms on the fastest host takes several
+// times as long on a small one, and all callers wait for it.
+constexpr double kMinRelativeProcessor = 0.75;
 
 }  // namespace
 
-int GroupsFor(int streams) {
+int GroupCount(int streams) {
   return std::max(1, (streams + kStreamsPerGroup - 1) / kStreamsPerGroup);
 }
 
-int GroupsFor(const std::vector<ServerEntry>& servers) {
+int GroupCount(const std::vector<ServerEntry>& servers) {
   int streams = 0;
   for (const ServerEntry& server : servers) streams += server.streams;
-  return GroupsFor(streams);
+  return GroupCount(streams);
 }
 
 std::uint16_t GroupOf(const ServerId& server, int groups) {
@@ -40,51 +40,53 @@
                                     static_cast<unsigned>(groups));
 }
 
-void GroupHosts::Set(const std::vector<HostEntry>& hosts) {
+void DispatcherSelector::SetHosts(const std::vector<HostEntry>& hosts) {
   if (hosts_ == hosts) return;
   hosts_ = hosts;
-  chosen_.clear();
+  cache_.clear();
 }
 
-void GroupHosts::Drain() {
+void DispatcherSelector::Drain() {
   draining_ = true;
-  chosen_.clear();
+  cache_.clear();
 }
 
-void GroupHosts::Silent(const EntryHostId& host, absl::Time now) {
-  left_out_until_[host] = now + kLeftOut;
-  chosen_.clear();
+void DispatcherSelector::Exclude(const EntryHostId& host, absl::Time now) {
+  excluded_until_[host] = now + kExclusionTime;
+  cache_.clear();
 }
 
-EntryHostId GroupHosts::DispatcherOf(const GroupKey& group,
-                                     absl::Time now) const {
-  if (now >= chosen_until_) chosen_.clear();
-  if (chosen_.empty()) chosen_until_ = absl::InfiniteFuture();
-  const auto [found, is_new] = chosen_.try_emplace(group);
-  if (is_new) found->second = Choose(group, now);
+EntryHostId DispatcherSelector::DispatcherOf(const GroupKey& group,
+                                             absl::Time now) const {
+  if (now >= cache_valid_until_) cache_.clear();
+  if (cache_.empty()) cache_valid_until_ = absl::InfiniteFuture();
+  const auto [found, is_new] = cache_.try_emplace(group);
+  if (is_new) found->second = SelectDispatcher(group, now);
   return found->second;
 }
 
-EntryHostId GroupHosts::Choose(const GroupKey& group, absl::Time now) const {
-  std::vector<const HostEntry*> able;
-  float most = 0;
+EntryHostId DispatcherSelector::SelectDispatcher(const GroupKey& group,
+                                                 absl::Time now) const {
+  std::vector<const HostEntry*> candidates;
+  float max_processor = 0;
   for (const HostEntry& host : hosts_) {
     const EntryHostId id(host.host);
     if (draining_ && id == self_) continue;
-    const auto left_out = left_out_until_.find(id);
-    if (left_out != left_out_until_.end() && now < left_out->second) {
-      chosen_until_ = std::min(chosen_until_, left_out->second);
+    const auto excluded = excluded_until_.find(id);
+    if (excluded != excluded_until_.end() && now < excluded->second) {
+      cache_valid_until_ = std::min(cache_valid_until_, excluded->second);
       continue;
     }
-    able.push_back(&host);
-    most = std::max(most, host.processor);
+    candidates.push_back(&host);
+    max_processor = std::max(max_processor, host.processor);
   }
   std::pair<NameHash, EntryHostId> best{0, self_};
-  for (const HostEntry* host : able) {
-    if (host->processor < kQuick * most) continue;
-    const std::string place =
+  for (const HostEntry* host : candidates) {
+    if (host->processor < kMinRelativeProcessor * max_processor) continue;
+    const std::string hash_input =
         absl::StrCat(host->host, "/", group.service, "/", group.group);
-    best = std::max(best, std::pair(HashName(place), EntryHostId(host->host)));
+    best = std::max(best,
+                    std::pair(HashName(hash_input), EntryHostId(host->host)));
   }
   return best.second;
 }
--- a/src/gateway/groups.h
+++ b/src/gateway/groups.h
@@ -1,17 +1,18 @@
-// Which group a server belongs to, and which entry host dispatches for a group.
+// Assigns backend servers to groups and groups to the entry hosts that dispatch
+// for them.
 //
-// Load pattern: many hosts send to the same servers, each of which has a few
-// streams. Each host for itself knows of the others' requests by messages that
-// are older than a stream lasts, and whoever has something waiting takes a
-// stream that comes free, also a batch at one host while urgent work waits at
-// another. One place that knows all streams of a group and all that waits for
-// them orders it exactly.
+// Many hosts send requests to the same servers, and each server runs only a few
+// streams. Without groups, each host learns of its peers' requests from
+// messages that are older than a stream lasts, and any host with a queued
+// request takes a stream that becomes free, even for a batch request while an
+// urgent request waits on a peer. One dispatcher that knows all streams of a
+// group and all requests queued for them orders the requests exactly.
 //
-// Nothing is agreed. Each host takes the host that ranks first for the group by
-// hash among those that may dispatch, as rendezvous hashing does, so that all
-// agree as long as they are told the same, and only what a lost host dispatched
-// moves. Two dispatchers of a group for a moment fill servers more than they
-// should, and harm nothing else.
+// The hosts run no agreement protocol. Each host selects the dispatcher of a
+// group by rendezvous hashing over the hosts that may dispatch. All hosts
+// select the same dispatcher as long as they have the same host list, and only
+// the groups of a lost host move. If a group briefly has two dispatchers, its
+// servers receive more requests than they have streams; there is no other harm.
 
 #ifndef GENTIANLB_GATEWAY_GROUPS_H_
 #define GENTIANLB_GATEWAY_GROUPS_H_
@@ -27,38 +28,39 @@
 
 namespace gentianlb::gateway {
 
-// How many groups servers with so many streams together make.
-int GroupsFor(int streams);
-int GroupsFor(const std::vector<ServerEntry>& servers);
+// Returns the number of groups for servers that run `streams` streams in total.
+int GroupCount(int streams);
+int GroupCount(const std::vector<ServerEntry>& servers);
 
-// The group, of `groups`, of a server.
+// Returns the group of `server`, from 0 to `groups` - 1.
 std::uint16_t GroupOf(const ServerId& server, int groups);
 
-// The hosts that may dispatch.
-class GroupHosts {
+// Selects the entry host that dispatches for a group.
+class DispatcherSelector {
  public:
-  explicit GroupHosts(EntryHostId self) : self_(std::move(self)) {}
+  explicit DispatcherSelector(EntryHostId self) : self_(std::move(self)) {}
 
-  // Those that live and may dispatch, this one included if it may.
-  void Set(const std::vector<HostEntry>& hosts);
-  // This host is about to stop.
+  // Sets the live hosts that may dispatch, including this host if it may.
+  void SetHosts(const std::vector<HostEntry>& hosts);
+  // Stops selecting this host, because it is about to stop.
   void Drain();
-  // It didn't answer in time; it is left out for a while.
-  void Silent(const EntryHostId& host, absl::Time now);
+  // Stops selecting `host` for a while, because it didn't answer in time.
+  void Exclude(const EntryHostId& host, absl::Time now);
 
-  // This host itself while it is told of none.
+  // Returns the dispatcher of `group`, or this host if no host may dispatch.
   EntryHostId DispatcherOf(const GroupKey& group, absl::Time now) const;
 
  private:
-  EntryHostId Choose(const GroupKey& group, absl::Time now) const;
+  EntryHostId SelectDispatcher(const GroupKey& group, absl::Time now) const;
 
   const EntryHostId self_;
   bool draining_ = false;
   std::vector<HostEntry> hosts_;
-  absl::flat_hash_map<EntryHostId, absl::Time> left_out_until_;
-  // What was chosen since anything changed: it is asked for each request.
-  mutable absl::flat_hash_map<GroupKey, EntryHostId> chosen_;
-  mutable absl::Time chosen_until_ = absl::InfiniteFuture();
+  absl::flat_hash_map<EntryHostId, absl::Time> excluded_until_;
+  // Dispatchers selected since the last change. The cache avoids selecting a
+  // dispatcher for each request.
+  mutable absl::flat_hash_map<GroupKey, EntryHostId> cache_;
+  mutable absl::Time cache_valid_until_ = absl::InfiniteFuture();
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/groups_test.cc
+++ b/src/gateway/groups_test.cc
@@ -10,95 +10,100 @@
 namespace {
 
 const absl::Time now = absl::UnixEpoch() + absl::Hours(1);
-constexpr int kHosts = 8;
+constexpr int kHostCount = 8;
 
-EntryHostId Name(int number) {
+EntryHostId HostId(int number) {
   return EntryHostId("h" + std::to_string(number));
 }
 
-HostEntry Entry(int number, float processor = 1) {
-  return {Name(number).str(), "", "z", processor};
+HostEntry MakeHostEntry(int number, float processor = 1) {
+  return {HostId(number).str(), "", "z", processor};
 }
 
-// What host `self` takes for the dispatcher when all but `unheard` live.
-EntryHostId Choice(int self, const GroupKey& group, int unheard = -1) {
-  GroupHosts hosts(Name(self));
+// Returns the dispatcher that host `self` selects if all hosts but `lost` are
+// live.
+EntryHostId SelectedDispatcher(int self, const GroupKey& group, int lost = -1) {
+  DispatcherSelector hosts(HostId(self));
   std::vector<HostEntry> live;
-  for (int i = 0; i < kHosts; ++i) {
-    if (i != unheard) live.push_back(Entry(i));
+  for (int i = 0; i < kHostCount; ++i) {
+    if (i != lost) live.push_back(MakeHostEntry(i));
   }
-  hosts.Set(live);
+  hosts.SetHosts(live);
   return hosts.DispatcherOf(group, now);
 }
 
-BOOST_AUTO_TEST_CASE(AllHostsTakeTheSameForTheDispatcher) {
+BOOST_AUTO_TEST_CASE(AllHostsSelectSameDispatcher) {
   std::map<EntryHostId, int> groups;
   for (std::uint16_t group = 0; group < 64; ++group) {
     const GroupKey key{HashName("service"), group};
-    for (int i = 1; i < kHosts; ++i) {
-      BOOST_TEST(Choice(i, key) == Choice(0, key));
+    for (int i = 1; i < kHostCount; ++i) {
+      BOOST_TEST(SelectedDispatcher(i, key) == SelectedDispatcher(0, key));
     }
-    ++groups[Choice(0, key)];
+    ++groups[SelectedDispatcher(0, key)];
   }
-  BOOST_TEST(groups.size() == static_cast<std::size_t>(kHosts));
+  BOOST_TEST(groups.size() == static_cast<std::size_t>(kHostCount));
 }
 
-// The dispatcher's host is lost. Its group falls to another, and no other group
-// moves: callers of those would wait for a decision in vain too.
-BOOST_AUTO_TEST_CASE(OnlyTheGroupsOfALostHostMove) {
+// The host of the dispatcher is lost. Its groups are assigned to other hosts,
+// and no other group moves: callers of the moved groups would wait in vain for
+// a decision too.
+BOOST_AUTO_TEST_CASE(OnlyGroupsOfLostHostMove) {
   for (std::uint16_t group = 0; group < 64; ++group) {
     const GroupKey key{HashName("service"), group};
-    const bool was_lost = Choice(0, key) == Name(3);
-    BOOST_TEST((Choice(0, key, /*unheard=*/3) == Choice(0, key)) != was_lost);
+    const bool was_lost = SelectedDispatcher(0, key) == HostId(3);
+    BOOST_TEST((SelectedDispatcher(0, key, /*lost=*/3) ==
+                SelectedDispatcher(0, key)) != was_lost);
   }
 }
 
-// A host that doesn't answer, is about to stop or isn't heard any more would
-// leave requests without a decision.
-BOOST_AUTO_TEST_CASE(HostsThatCannotDispatchAreLeftOut) {
+// A host that doesn't answer, is about to stop or is no longer live would leave
+// requests without a decision.
+BOOST_AUTO_TEST_CASE(HostsThatCannotDispatchAreNotSelected) {
   const GroupKey key{HashName("service"), 0};
-  const EntryHostId first = Choice(0, key);
-  for (int self = 0; self < kHosts; ++self) {
-    GroupHosts hosts(Name(self));
-    const std::vector<HostEntry> both = {{first.str(), "", "z", 1},
-                                         {Name(self).str(), "", "z", 1}};
-    hosts.Set(both);
-    BOOST_TEST(hosts.DispatcherOf(key, now) == first);
-    if (Name(self) == first) {
+  const EntryHostId dispatcher = SelectedDispatcher(0, key);
+  for (int self = 0; self < kHostCount; ++self) {
+    DispatcherSelector hosts(HostId(self));
+    const std::vector<HostEntry> both = {{dispatcher.str(), "", "z", 1},
+                                         {HostId(self).str(), "", "z", 1}};
+    hosts.SetHosts(both);
+    BOOST_TEST(hosts.DispatcherOf(key, now) == dispatcher);
+    if (HostId(self) == dispatcher) {
       hosts.Drain();
-      hosts.Set({Entry(0), Entry(1), {first.str(), "", "z", 1}});
-      BOOST_TEST(hosts.DispatcherOf(key, now) != first);
+      hosts.SetHosts(
+          {MakeHostEntry(0), MakeHostEntry(1), {dispatcher.str(), "", "z", 1}});
+      BOOST_TEST(hosts.DispatcherOf(key, now) != dispatcher);
       continue;
     }
-    hosts.Silent(first, now);
-    BOOST_TEST(hosts.DispatcherOf(key, now) != first);
-    BOOST_TEST(hosts.DispatcherOf(key, now + absl::Seconds(2)) == first);
-    // Without it, as those that drain or are silent are not listed.
-    hosts.Set({both.back()});
-    BOOST_TEST(hosts.DispatcherOf(key, now + absl::Seconds(2)) == Name(self));
-    hosts.Set({});
-    BOOST_TEST(hosts.DispatcherOf(key, now + absl::Seconds(2)) == Name(self));
+    hosts.Exclude(dispatcher, now);
+    BOOST_TEST(hosts.DispatcherOf(key, now) != dispatcher);
+    BOOST_TEST(hosts.DispatcherOf(key, now + absl::Seconds(2)) == dispatcher);
+    // Without the first host, because draining and unresponsive hosts are not
+    // listed.
+    hosts.SetHosts({both.back()});
+    BOOST_TEST(hosts.DispatcherOf(key, now + absl::Seconds(2)) == HostId(self));
+    hosts.SetHosts({});
+    BOOST_TEST(hosts.DispatcherOf(key, now + absl::Seconds(2)) == HostId(self));
   }
 }
 
-// Hosts have unlike processors. A small one that dispatched for all would keep
-// every caller waiting.
-BOOST_AUTO_TEST_CASE(SmallHostsDontDispatchWhereLargeOnesAre) {
+// Hosts have different processor shares. If a small host dispatched for all,
+// every caller would wait for it.
+BOOST_AUTO_TEST_CASE(SmallHostsDontDispatchBesideLargeOnes) {
   for (std::uint16_t group = 0; group < 16; ++group) {
     const GroupKey key{HashName("service"), group};
-    GroupHosts hosts(Name(0));
-    BOOST_TEST(hosts.DispatcherOf(key, now) == Name(0));
-    hosts.Set(
-        {Entry(0, 0.12F), Entry(1, 0.5F), Entry(2, 0.4F), Entry(3, 0.25F)});
-    const EntryHostId chosen = hosts.DispatcherOf(key, now);
-    BOOST_TEST((chosen == Name(1) || chosen == Name(2)));
+    DispatcherSelector hosts(HostId(0));
+    BOOST_TEST(hosts.DispatcherOf(key, now) == HostId(0));
+    hosts.SetHosts({MakeHostEntry(0, 0.12F), MakeHostEntry(1, 0.5F),
+                    MakeHostEntry(2, 0.4F), MakeHostEntry(3, 0.25F)});
+    const EntryHostId dispatcher = hosts.DispatcherOf(key, now);
+    BOOST_TEST((dispatcher == HostId(1) || dispatcher == HostId(2)));
   }
 }
 
-BOOST_AUTO_TEST_CASE(EachServerIsInOneGroup) {
-  BOOST_TEST(GroupsFor(0) == 1);
-  BOOST_TEST(GroupsFor(108) == 1);
-  BOOST_TEST(GroupsFor(5120) == 10);
+BOOST_AUTO_TEST_CASE(ServersAreSpreadOverGroups) {
+  BOOST_TEST(GroupCount(0) == 1);
+  BOOST_TEST(GroupCount(108) == 1);
+  BOOST_TEST(GroupCount(5120) == 10);
   std::map<std::uint16_t, int> sizes;
   for (int i = 0; i < 1000; ++i) {
     ++sizes[GroupOf(ServerId("s" + std::to_string(i)), 4)];
@@ -128,7 +133,7 @@
 GroupMessage Sample() {
   const GroupKey group{HashName("service"), 3};
   GroupMessage message;
-  message.from = Name(1);
+  message.from = HostId(1);
   message.events = {
       {group, schedule::RequestArrived{SampleRequest()}},
       {group, schedule::RequestRunning{SampleRequest(), ServerId("t"), 12}},
@@ -141,41 +146,42 @@
       schedule::Grant{RequestId("6"), EntryHostId(), ServerId("t")},
       schedule::Refuse{RequestId("7"), EntryHostId(),
                        Code::kDeadlineUnreachable, absl::Milliseconds(400)},
-      RequestWaits{RequestId("8")}};
-  message.rooms = {{group, -4}};
+      RequestQueued{RequestId("8")}};
+  message.capacities = {{group, -4}};
   return message;
 }
 
-// Hosts' clocks differ: times travel as spans.
-BOOST_AUTO_TEST_CASE(MessagesComeBackAsTheyWere) {
-  const absl::Time there = now + absl::Hours(9);
-  const auto back = DecodeGroupMessage(Encode(Sample(), now), there);
-  BOOST_REQUIRE(back.has_value());
-  BOOST_TEST(back->from == Name(1));
-  BOOST_REQUIRE(back->events.size() == 6u);
+// Times are sent as durations, because the clocks of hosts differ.
+BOOST_AUTO_TEST_CASE(MessagesRoundTrip) {
+  const absl::Time receiver_time = now + absl::Hours(9);
+  const auto decoded = DecodeGroupMessage(Encode(Sample(), now), receiver_time);
+  BOOST_REQUIRE(decoded.has_value());
+  BOOST_TEST(decoded->from == HostId(1));
+  BOOST_REQUIRE(decoded->events.size() == 6u);
   schedule::Request expected = SampleRequest();
   for (absl::Time* time :
        {&expected.arrival, &expected.deadline, &expected.first_token_due}) {
     *time += absl::Hours(9);
   }
   const auto& arrived =
-      std::get<schedule::RequestArrived>(back->events[0].event);
+      std::get<schedule::RequestArrived>(decoded->events[0].event);
   BOOST_TEST((arrived.request == expected));
   const auto& running =
-      std::get<schedule::RequestRunning>(back->events[1].event);
+      std::get<schedule::RequestRunning>(decoded->events[1].event);
   BOOST_TEST((running.request == expected));
   BOOST_TEST(running.server.str() == "t");
-  const auto& ended = std::get<schedule::RequestEnded>(back->events[4].event);
+  const auto& ended =
+      std::get<schedule::RequestEnded>(decoded->events[4].event);
   BOOST_TEST((ended.kind == schedule::EndKind::kBroken));
   BOOST_TEST(ended.output_tokens == 9);
-  BOOST_TEST(std::get<OpenRequests>(back->events[5].event).ids.size() == 2u);
-  BOOST_TEST((back->answers == Sample().answers));
-  BOOST_TEST((back->rooms == Sample().rooms));
+  BOOST_TEST(std::get<OpenRequests>(decoded->events[5].event).ids.size() == 2u);
+  BOOST_TEST((decoded->answers == Sample().answers));
+  BOOST_TEST((decoded->capacities == Sample().capacities));
 }
 
-// A datagram is cut on the way, or a stranger sends to the port. Nothing of it
-// may be believed, and a length in it must not be taken at its word.
-BOOST_AUTO_TEST_CASE(CutAndForeignMessagesAreNone) {
+// A datagram is truncated in transit, or an unrelated sender uses the port. The
+// decoder must reject the whole datagram and must not trust a length in it.
+BOOST_AUTO_TEST_CASE(TruncatedAndForeignMessagesAreRejected) {
   const std::string whole = Encode(Sample(), now);
   for (std::size_t size = 0; size < whole.size(); ++size) {
     BOOST_TEST(!DecodeGroupMessage(whole.substr(0, size), now).has_value());
