--- a/src/settings/document.h
+++ b/src/settings/document.h
@@ -1,5 +1,5 @@
-// An INI file as sections and keys with their lines, read by libinih. A header
-// is `[kind]` or `[kind name]`.
+// Parses INI files with libinih into sections and entries with line numbers. A
+// section header is `[kind]` or `[kind name]`.
 
 #ifndef GENTIANLB_SETTINGS_DOCUMENT_H_
 #define GENTIANLB_SETTINGS_DOCUMENT_H_
@@ -33,12 +33,12 @@
   bool operator==(const Document&) const = default;
 };
 
-// Reads `text`; `file` names it in problems. Lines that are not INI, sections
-// and keys that stand twice are noted in `problems`; the rest is still read.
+// Parses `text`; problems refer to it as `file`. Invalid lines and duplicate
+// sections or keys are added to `problems`; the rest is still parsed.
 Document ParseDocument(std::string_view file, std::string_view text,
                        Problems* problems);
 
-// The whole file, or kFileUnreadable.
+// Returns the content of the file, or kFileUnreadable.
 Outcome<std::string> ReadFile(const std::string& path);
 
 }  // namespace gentianlb::settings
--- a/src/settings/field_reader.cc
+++ b/src/settings/field_reader.cc
@@ -7,17 +7,20 @@
 namespace gentianlb::settings {
 namespace {
 
-std::string Show(double value) { return absl::StrCat(value); }
-std::string Show(std::int64_t value) { return absl::StrCat(value); }
-std::string Show(absl::Duration value) { return absl::FormatDuration(value); }
+std::string FormatValue(double value) { return absl::StrCat(value); }
+std::string FormatValue(std::int64_t value) { return absl::StrCat(value); }
+std::string FormatValue(absl::Duration value) {
+  return absl::FormatDuration(value);
+}
 
-// Only the open end of a range is left out of the text.
+// Omits an unlimited maximum.
 template <typename T>
-std::string ShowRange(const Range<T>& range) {
-  if (range.most == std::numeric_limits<T>::max()) {
-    return absl::StrCat("must be at least ", Show(range.least));
+std::string FormatRange(const Range<T>& range) {
+  if (range.max == std::numeric_limits<T>::max()) {
+    return absl::StrCat("must be at least ", FormatValue(range.min));
   }
-  return absl::StrCat("must be ", Show(range.least), " to ", Show(range.most));
+  return absl::StrCat("must be ", FormatValue(range.min), " to ",
+                      FormatValue(range.max));
 }
 
 }  // namespace
@@ -33,7 +36,7 @@
   const Entry* entry = Find(key, need);
   if (entry == nullptr) return;
   *out = entry->value;
-  if (!IsName(entry->value)) Add(*entry, {Code::kOutOfRange, "is no name"});
+  if (!IsName(entry->value)) Add(*entry, {Code::kOutOfRange, "is not a name"});
 }
 
 void FieldReader::Names(std::string_view key, std::vector<std::string>* out,
@@ -43,7 +46,8 @@
   if (entry == nullptr) return;
   for (const std::string& name : *out) {
     if (IsName(name)) continue;
-    Add(*entry, {Code::kOutOfRange, absl::StrCat("'", name, "' is no name")});
+    Add(*entry,
+        {Code::kOutOfRange, absl::StrCat("'", name, "' is not a valid name")});
   }
 }
 
@@ -56,7 +60,7 @@
   for (const std::string& item : *out) {
     if (seen.insert(item).second) continue;
     Add(*entry, {Code::kDuplicateSetting,
-                 absl::StrCat("'", item, "' stands twice in the list")});
+                 absl::StrCat("'", item, "' is listed twice")});
   }
 }
 
@@ -123,7 +127,7 @@
   const Entry* entry = Find(key, need);
   if (entry == nullptr) return;
   *out = entry->value;
-  if (!IsIp(entry->value)) Add(*entry, {Code::kBadUnit, "is no IP number"});
+  if (!IsIp(entry->value)) Add(*entry, {Code::kBadUnit, "is not an IP"});
 }
 
 int FieldReader::Line(std::string_view key) const {
@@ -142,14 +146,14 @@
 
 void FieldReader::ReportUnknownKeys() {
   for (const Entry& entry : section_.entries) {
-    if (known_.contains(entry.key)) continue;
+    if (read_keys_.contains(entry.key)) continue;
     Add(entry, {Code::kUnknownSetting,
                 absl::StrCat("is not known in [", section_.kind, "]")});
   }
 }
 
 const Entry* FieldReader::Find(std::string_view key, Need need) {
-  known_.insert(std::string(key));
+  read_keys_.insert(std::string(key));
   for (const Entry& entry : section_.entries) {
     if (entry.key == key) return &entry;
   }
@@ -173,8 +177,8 @@
   auto parsed = parser(entry->value);
   if (!parsed.ok()) return Add(*entry, parsed.error());
   T value = parsed.value();
-  if (value < range.least || range.most < value) {
-    return Add(*entry, {Code::kOutOfRange, ShowRange(range)});
+  if (value < range.min || range.max < value) {
+    return Add(*entry, {Code::kOutOfRange, FormatRange(range)});
   }
   *out = value;
 }
--- a/src/settings/field_reader.h
+++ b/src/settings/field_reader.h
@@ -1,5 +1,5 @@
-// Reads the fields of one section into variables that already hold their
-// defaults, and notes every problem on the way.
+// Reads the fields of a section into variables that already hold their
+// defaults, and adds a problem for each invalid field.
 
 #ifndef GENTIANLB_SETTINGS_FIELD_READER_H_
 #define GENTIANLB_SETTINGS_FIELD_READER_H_
@@ -20,11 +20,11 @@
 
 enum class Need { kOptional, kRequired };
 
-// Both ends belong to it.
+// A closed range.
 template <typename T>
 struct Range {
-  T least;
-  T most;
+  T min;
+  T max;
 };
 
 inline constexpr Range<double> kNonNegative = {
@@ -32,7 +32,7 @@
 
 class FieldReader {
  public:
-  // The arguments outlive the reader.
+  // The arguments must outlive the reader.
   FieldReader(const Document& document, const Section& section,
               Problems* problems)
       : document_(document), section_(section), problems_(problems) {}
@@ -43,7 +43,7 @@
             Need need = Need::kOptional);
   void Names(std::string_view key, std::vector<std::string>* out,
              Need need = Need::kOptional);
-  // Separated by commas; blanks around each are dropped.
+  // Reads a comma-separated list; whitespace around items is dropped.
   void List(std::string_view key, std::vector<std::string>* out,
             Need need = Need::kOptional);
   void Flag(std::string_view key, bool* out, Need need = Need::kOptional);
@@ -69,7 +69,7 @@
                Need need = Need::kOptional);
   void Ip(std::string_view key, std::string* out, Need need = Need::kOptional);
 
-  // One of the named values.
+  // Reads one of the named values.
   template <typename T>
   void Choice(std::string_view key,
               const std::vector<std::pair<std::string_view, T>>& choices,
@@ -85,18 +85,18 @@
     Add(*entry, {Code::kOutOfRange, "must be one of " + names});
   }
 
-  // Whether the section has the key; it counts as known from then on.
+  // Returns whether the section has `key` and marks the key as known.
   bool Has(std::string_view key) {
     return Find(key, Need::kOptional) != nullptr;
   }
 
-  // Where the key stands, or else the section.
+  // Returns the line of `key`, or of the section if the key is missing.
   int Line(std::string_view key) const;
 
-  // Notes a problem with the key, such as a contradiction.
+  // Adds a problem with `key`, such as a contradiction.
   void AddProblem(std::string_view key, Code code, std::string_view text);
 
-  // Notes every key that was never asked for.
+  // Adds a problem for each key that no function of this reader was called for.
   void ReportUnknownKeys();
 
  private:
@@ -110,10 +110,10 @@
   const Document& document_;
   const Section& section_;
   Problems* problems_;
-  absl::flat_hash_set<std::string> known_;
+  absl::flat_hash_set<std::string> read_keys_;
 };
 
-// `a, b` as {"a", "b"}; empty for a blank text.
+// Returns `a, b` as {"a", "b"}; empty for a blank text.
 std::vector<std::string> SplitList(std::string_view text);
 
 }  // namespace gentianlb::settings
--- a/src/settings/gateway_settings.cc
+++ b/src/settings/gateway_settings.cc
@@ -9,10 +9,11 @@
 namespace gentianlb::settings {
 namespace {
 
-constexpr Range<absl::Duration> kGrace = {absl::Seconds(1), absl::Hours(1)};
-constexpr Range<double> kBurst = {0, 1e6};
-constexpr Range<double> kRatio = {0, 10};
-constexpr Range<double> kProcessor = {0.001, 1024};
+constexpr Range<absl::Duration> kGraceRange = {absl::Seconds(1),
+                                               absl::Hours(1)};
+constexpr Range<double> kBurstRange = {0, 1e6};
+constexpr Range<double> kRatioRange = {0, 10};
+constexpr Range<double> kProcessorRange = {0.001, 1024};
 
 void ReadSection(const std::string& kind, FieldReader& reader,
                  GatewaySettings* settings) {
@@ -23,8 +24,8 @@
     reader.Name("zone", &zone, Need::kRequired);
     settings->id = EntryHostId(id);
     settings->zone = ZoneId(zone);
-    reader.Duration("grace", kGrace, &settings->grace, Need::kRequired);
-    reader.Number("processor", kProcessor, &settings->processor);
+    reader.Duration("grace", kGraceRange, &settings->grace, Need::kRequired);
+    reader.Number("processor", kProcessorRange, &settings->processor);
   } else if (kind == "callers") {
     reader.Address("address", &settings->callers, Need::kRequired);
   } else if (kind == "ready") {
@@ -40,8 +41,8 @@
     reader.Number("tolerance_tokens", kNonNegative,
                   &settings->limit_tolerance_tokens);
   } else if (kind == "retries") {
-    reader.Number("per_request", kRatio, &settings->retries_per_request);
-    reader.Number("burst", kBurst, &settings->retry_burst);
+    reader.Number("per_request", kRatioRange, &settings->retries_per_request);
+    reader.Number("burst", kBurstRange, &settings->retry_burst);
   }
 }
 
@@ -51,31 +52,33 @@
                                     Problems* problems) {
   constexpr const char* kRequired[] = {"host",    "callers", "ready",
                                        "metrics", "peers",   "table"};
-  const absl::flat_hash_set<std::string> known = {"host",    "callers", "ready",
-                                                  "metrics", "peers",   "table",
-                                                  "retries", "limits"};
+  const absl::flat_hash_set<std::string> known_sections = {
+      "host",  "callers", "ready",   "metrics",
+      "peers", "table",   "retries", "limits"};
   GatewaySettings settings;
-  absl::flat_hash_set<std::string> seen;
-  auto note = [&](int line, Code code, std::string text) {
+  absl::flat_hash_set<std::string> seen_sections;
+  auto add_problem = [&](int line, Code code, std::string text) {
     problems->push_back({document.file, line, code, std::move(text)});
   };
   for (const Section& section : document.sections) {
-    if (!known.contains(section.kind) || !section.name.empty()) {
-      note(section.line, Code::kUnknownSection,
-           absl::StrCat("[", section.kind, "] is not a section of settings"));
+    if (!known_sections.contains(section.kind) || !section.name.empty()) {
+      add_problem(
+          section.line, Code::kUnknownSection,
+          absl::StrCat("[", section.kind, "] is not a section of settings"));
       continue;
     }
-    seen.insert(section.kind);
+    seen_sections.insert(section.kind);
     FieldReader reader(document, section, problems);
     ReadSection(section.kind, reader, &settings);
     reader.ReportUnknownKeys();
   }
   for (const char* kind : kRequired) {
-    if (seen.contains(kind)) continue;
-    note(0, Code::kMissingSetting, absl::StrCat("[", kind, "] is missing"));
+    if (seen_sections.contains(kind)) continue;
+    add_problem(0, Code::kMissingSetting,
+                absl::StrCat("[", kind, "] is missing"));
   }
   if (!settings.ready_path.empty() && settings.ready_path[0] != '/') {
-    note(0, Code::kOutOfRange, "[ready] path must begin with a slash");
+    add_problem(0, Code::kOutOfRange, "[ready] path must begin with a slash");
   }
   return settings;
 }
--- a/src/settings/gateway_settings.h
+++ b/src/settings/gateway_settings.h
@@ -1,6 +1,6 @@
-// The settings of an entry host that runs as a gateway on a platform: an
-// immutable value, read from INI and checked as a whole before anything starts.
-// docs/GATEWAY_SETTINGS.md lists them.
+// The settings of an entry host that runs as a gateway on a platform. They are
+// immutable, and the whole INI file is read and checked before anything starts.
+// See docs/GATEWAY_SETTINGS.md.
 
 #ifndef GENTIANLB_SETTINGS_GATEWAY_SETTINGS_H_
 #define GENTIANLB_SETTINGS_GATEWAY_SETTINGS_H_
@@ -18,24 +18,26 @@
   EntryHostId id;
   ZoneId zone;
   Endpoint callers;        // Port 0: the kernel picks one.
-  Endpoint ready;          // Where the platform asks whether to send callers.
-  std::string ready_path;  // Of that question.
+  Endpoint ready;          // The address of the readiness check.
+  std::string ready_path;  // The path of the readiness check.
   Endpoint metrics;
-  Endpoint peers;        // Where messages of other entry hosts come in.
+  Endpoint peers;        // For messages of peers.
   Endpoint table;        // The platform's table service.
   absl::Duration grace;  // From SIGTERM until the process is killed.
-  double processor = 1;  // Part of one that the host may use.
-  double retries_per_request = 0.1;   // Of all hosts together.
-  double retry_burst = 10;            // Of all hosts together.
+  double processor = 1;  // Number of processors that the host may use.
+  double retries_per_request = 0.1;   // Over all hosts.
+  double retry_burst = 10;            // Over all hosts.
   double limit_tolerance_tokens = 0;  // Above a workspace's limit.
   bool operator==(const GatewaySettings&) const = default;
 };
 
-// With any problem noted, the value must not be used.
+// Reads and checks a document. The result must not be used if a problem was
+// added.
 GatewaySettings ReadGatewaySettings(const Document& document,
                                     Problems* problems);
 
-// Reads and checks the file; the error lists all problems, one a line.
+// Reads and checks the file at `path`. The error lists all problems, one per
+// line.
 Outcome<GatewaySettings> LoadGatewaySettings(const std::string& path);
 
 }  // namespace gentianlb::settings
--- a/src/settings/gateway_settings_test.cc
+++ b/src/settings/gateway_settings_test.cc
@@ -8,7 +8,7 @@
 namespace gentianlb::settings {
 namespace {
 
-constexpr char kWhole[] = R"([host]
+constexpr char kCompleteFile[] = R"([host]
 id = h
 zone = z
 grace = 8s
@@ -41,9 +41,9 @@
       [code](const auto& problem) { return problem.code == code; });
 }
 
-BOOST_AUTO_TEST_CASE(AWholeFileIsRead) {
+BOOST_AUTO_TEST_CASE(ReadsCompleteFile) {
   Problems problems;
-  const GatewaySettings settings = Read(kWhole, &problems);
+  const GatewaySettings settings = Read(kCompleteFile, &problems);
   BOOST_TEST(problems.empty());
   BOOST_TEST(settings.id.str() == "h");
   BOOST_TEST((settings.grace == absl::Seconds(8)));
@@ -52,9 +52,9 @@
   BOOST_TEST(settings.limit_tolerance_tokens == 140000);
 }
 
-// A template that was filled in with nothing, or an older one, must stop the
-// process before it takes callers, and say what is wrong.
-BOOST_AUTO_TEST_CASE(EveryProblemIsNumbered) {
+// A template with an empty value, or an outdated one, must stop the process
+// before it accepts callers, and the error must say what is wrong.
+BOOST_AUTO_TEST_CASE(ReportsEveryProblemWithItsCode) {
   Problems problems;
   Read("[host]\nid =\nzone = z\ngrace = 8\n[other]\n[ready]\npath = x\n",
        &problems);
@@ -64,33 +64,32 @@
   BOOST_TEST(HasCode(problems, Code::kOutOfRange));
 }
 
-// Operators copy keys from the page; one that the program refuses would keep
-// every host from starting.
-BOOST_AUTO_TEST_CASE(TheTemplateAndThePageNameOnlyKnownKeys) {
-  std::ifstream page(GENTIANLB_SOURCE_DIR "/docs/GATEWAY_SETTINGS.md");
-  std::ifstream file(GENTIANLB_SOURCE_DIR "/deploy/gateway.ini");
-  const std::string documented((std::istreambuf_iterator<char>(page)), {});
-  BOOST_REQUIRE(!documented.empty());
+// Operators copy keys from the documentation. A documented key that the program
+// rejects would keep every host from starting.
+BOOST_AUTO_TEST_CASE(TemplateAndDocumentationListOnlyKnownKeys) {
+  std::ifstream documentation(GENTIANLB_SOURCE_DIR "/docs/GATEWAY_SETTINGS.md");
+  std::ifstream template_file(GENTIANLB_SOURCE_DIR "/deploy/gateway.ini");
+  const std::string text((std::istreambuf_iterator<char>(documentation)), {});
+  BOOST_REQUIRE(!text.empty());
   Problems problems;
-  const Document whole = ParseDocument("f", kWhole, &problems);
-  for (const Section& section : whole.sections) {
-    BOOST_TEST(documented.find("`[" + section.kind + "]`") !=
-               std::string::npos);
+  const Document document = ParseDocument("f", kCompleteFile, &problems);
+  for (const Section& section : document.sections) {
+    BOOST_TEST(text.find("`[" + section.kind + "]`") != std::string::npos);
     for (const Entry& entry : section.entries) {
-      BOOST_TEST(documented.find("`" + entry.key + "`") != std::string::npos,
+      BOOST_TEST(text.find("`" + entry.key + "`") != std::string::npos,
                  entry.key);
     }
   }
-  int named = 0;
-  for (std::string line; std::getline(file, line);) {
+  int key_count = 0;
+  for (std::string line; std::getline(template_file, line);) {
     const std::size_t equals = line.find(" = ");
     if (equals == std::string::npos) continue;
-    ++named;
-    BOOST_TEST(std::string(kWhole).find(line.substr(0, equals + 3)) !=
+    ++key_count;
+    BOOST_TEST(std::string(kCompleteFile).find(line.substr(0, equals + 3)) !=
                    std::string::npos,
                line);
   }
-  BOOST_TEST(named == 13);
+  BOOST_TEST(key_count == 13);
 }
 
 }  // namespace
--- a/src/settings/host_settings.cc
+++ b/src/settings/host_settings.cc
@@ -11,18 +11,19 @@
 namespace gentianlb::settings {
 namespace {
 
-// A shorter key can be guessed by trying.
+// A shorter key can be guessed by brute force.
 constexpr std::size_t kMinKeyBytes = 16;
 
-constexpr Range<absl::Duration> kShort = {absl::Milliseconds(10),
-                                          absl::Minutes(1)};
-constexpr Range<absl::Duration> kLong = {absl::Seconds(1), absl::Hours(24)};
+constexpr Range<absl::Duration> kShortRange = {absl::Milliseconds(10),
+                                               absl::Minutes(1)};
+constexpr Range<absl::Duration> kLongRange = {absl::Seconds(1),
+                                              absl::Hours(24)};
 
-// Reads all sections of one document, each by a function of its own.
-class HostReader {
+// Reads all sections of a document, each with a separate function.
+class HostSettingsReader {
  public:
-  HostReader(const Document& document, const std::string& folder,
-             Problems* problems)
+  HostSettingsReader(const Document& document, const std::string& folder,
+                     Problems* problems)
       : document_(document), folder_(folder), problems_(problems) {}
 
   HostSettings Read() {
@@ -36,26 +37,26 @@
   }
 
  private:
-  using SectionFunction = void (HostReader::*)(FieldReader&);
+  using SectionFunction = void (HostSettingsReader::*)(FieldReader&);
 
   void ReadSection(const Section& section) {
     static const auto& functions =
         *new absl::flat_hash_map<std::string, SectionFunction>{
-            {"host", &HostReader::ReadHost},
-            {"callers", &HostReader::ReadCallers},
-            {"control", &HostReader::ReadControl},
-            {"metrics", &HostReader::ReadMetrics},
-            {"platform", &HostReader::ReadPlatform},
-            {"limits", &HostReader::ReadLimits},
-            {"membership", &HostReader::ReadMembership},
-            {"configuration", &HostReader::ReadFollow},
-            {"log", &HostReader::ReadLog},
-            {"timeline", &HostReader::ReadTimeline}};
-    seen_.emplace(section.kind, section.line);
+            {"host", &HostSettingsReader::ReadHost},
+            {"callers", &HostSettingsReader::ReadCallers},
+            {"control", &HostSettingsReader::ReadControl},
+            {"metrics", &HostSettingsReader::ReadMetrics},
+            {"platform", &HostSettingsReader::ReadPlatform},
+            {"limits", &HostSettingsReader::ReadLimits},
+            {"membership", &HostSettingsReader::ReadMembership},
+            {"configuration", &HostSettingsReader::ReadFollow},
+            {"log", &HostSettingsReader::ReadLog},
+            {"timeline", &HostSettingsReader::ReadTimeline}};
+    section_lines_.emplace(section.kind, section.line);
     if (section.kind == "peers") return ReadPeers(section);
     auto found = functions.find(section.kind);
     if (found == functions.end() || !section.name.empty()) {
-      return Note(
+      return AddProblem(
           section.line, Code::kUnknownSection,
           absl::StrCat("[", section.kind, section.name.empty() ? "" : " ",
                        section.name, "] is not a section of settings"));
@@ -72,7 +73,7 @@
     reader.Name("zone", &zone, Need::kRequired);
     settings_.id = EntryHostId(id);
     settings_.zone = ZoneId(zone);
-    reader.Duration("drain_limit", kLong, &settings_.drain_limit);
+    reader.Duration("drain_limit", kLongRange, &settings_.drain_limit);
   }
 
   void ReadCallers(FieldReader& reader) {
@@ -85,7 +86,7 @@
     ReadTls(reader, &settings_.control_tls);
     ReadKey(reader, "peer_key", &settings_.peer_key);
     ReadKey(reader, "operator_key", &settings_.operator_key);
-    // A caller of one interface could act on the other.
+    // Otherwise a client of one interface could use the other.
     bool same = settings_.peer_key == settings_.operator_key;
     if (same && !settings_.peer_key.empty()) {
       reader.AddProblem("operator_key", Code::kContradiction,
@@ -111,26 +112,26 @@
                           parsed.error().detail);
       }
     }
-    reader.Duration("timeout", kShort, &platform.timeout);
-    reader.Duration("retry_least", kShort, &platform.retry_least);
-    reader.Duration("retry_most", kShort, &platform.retry_most);
-    reader.Duration("list_period", kShort, &platform.list_period);
+    reader.Duration("timeout", kShortRange, &platform.timeout);
+    reader.Duration("retry_least", kShortRange, &platform.min_delay);
+    reader.Duration("retry_most", kShortRange, &platform.max_delay);
+    reader.Duration("list_period", kShortRange, &platform.list_period);
   }
 
   void ReadLimits(FieldReader& reader) {
     LimitSettings& limits = settings_.limits;
     reader.Size("body", {1024, std::int64_t{1} << 30}, &limits.body_bytes);
     reader.Size("header", {1024, 1 << 20}, &limits.header_bytes);
-    reader.Duration("idle_timeout", kLong, &limits.idle_timeout);
+    reader.Duration("idle_timeout", kLongRange, &limits.idle_timeout);
     reader.Integer("connections", {1, 100000}, &limits.connections);
     reader.Integer("threads", {1, 64}, &limits.threads);
   }
 
   void ReadMembership(FieldReader& reader) {
     MembershipSettings& membership = settings_.membership;
-    reader.Duration("heartbeat", kShort, &membership.heartbeat);
-    reader.Duration("suspect_after", kShort, &membership.suspect_after);
-    reader.Duration("forget_after", kLong, &membership.forget_after);
+    reader.Duration("heartbeat", kShortRange, &membership.heartbeat);
+    reader.Duration("suspect_after", kShortRange, &membership.suspect_after);
+    reader.Duration("forget_after", kLongRange, &membership.forget_after);
     reader.Duration("lease", {absl::Seconds(1), absl::Minutes(10)},
                     &membership.lease);
     reader.Integer("fanout", {1, 16}, &membership.fanout);
@@ -151,7 +152,7 @@
     reader.Integer("events", {100, 1000000}, &settings_.timeline_events);
   }
 
-  // One peer a line, `id = IP:PORT` of its control address.
+  // Reads one peer per line: `id = IP:PORT` of its control address.
   void ReadPeers(const Section& section) {
     FieldReader reader(document_, section, problems_);
     for (const Entry& entry : section.entries) {
@@ -162,26 +163,26 @@
     }
   }
 
-  // The key itself, or `<key>_file` that holds it.
+  // Reads a key from `key` or from the file that `<key>_file` names.
   void ReadKey(FieldReader& reader, const std::string& key, std::string* out) {
     std::string file_key = key + "_file";
-    bool direct = reader.Has(key);
-    bool by_file = reader.Has(file_key);
-    if (direct && by_file) {
+    bool has_key = reader.Has(key);
+    bool has_file = reader.Has(file_key);
+    if (has_key && has_file) {
       return reader.AddProblem(file_key, Code::kContradiction,
                                "and " + key + " are both set");
     }
-    if (!direct && !by_file) {
+    if (!has_key && !has_file) {
       return reader.AddProblem(key, Code::kMissingSetting,
                                "or " + file_key + " is missing in [control]");
     }
-    if (direct) reader.Text(key, out);
-    if (by_file) ReadFileSetting(reader, file_key, out);
+    if (has_key) reader.Text(key, out);
+    if (has_file) ReadFileSetting(reader, file_key, out);
     *out = std::string(absl::StripAsciiWhitespace(*out));
-    // The text of a key appears in no message.
+    // No message may contain the text of a key.
     if (!out->empty() && out->size() < kMinKeyBytes) {
       reader.AddProblem(
-          direct ? key : file_key, Code::kOutOfRange,
+          has_key ? key : file_key, Code::kOutOfRange,
           absl::StrCat("must have at least ", kMinKeyBytes, " bytes"));
     }
   }
@@ -193,7 +194,7 @@
       ReadFileSetting(reader, "certificate_file", &tls->certificate_pem);
     }
     if (key) ReadFileSetting(reader, "private_key_file", &tls->private_key_pem);
-    // With one of them alone the port would be open in clear text.
+    // With only one of them the port would be unencrypted.
     if (certificate == key) return;
     reader.AddProblem(certificate ? "certificate_file" : "private_key_file",
                       Code::kContradiction,
@@ -216,25 +217,26 @@
 
   void RequireSections() {
     for (const char* kind : {"host", "callers", "control", "platform"}) {
-      if (seen_.contains(kind)) continue;
-      Note(0, Code::kMissingSetting, absl::StrCat("[", kind, "] is missing"));
+      if (section_lines_.contains(kind)) continue;
+      AddProblem(0, Code::kMissingSetting,
+                 absl::StrCat("[", kind, "] is missing"));
     }
   }
 
   void CheckAddresses() {
-    // The kernel gives the second one of two equal ports to nobody.
-    bool clash = settings_.callers.port != 0 &&
-                 settings_.callers.port == settings_.control.port;
-    if (clash) {
-      Note(Line("control"), Code::kContradiction,
-           "[control] has the port of [callers]");
+    // The kernel rejects the second of two equal ports.
+    bool same_port = settings_.callers.port != 0 &&
+                     settings_.callers.port == settings_.control.port;
+    if (same_port) {
+      AddProblem(Line("control"), Code::kContradiction,
+                 "[control] has the port of [callers]");
     }
     if (!settings_.metrics || settings_.metrics->port == 0) return;
     int port = settings_.metrics->port;
-    bool clear = port != settings_.callers.port;
-    if (clear && port != settings_.control.port) return;
-    Note(Line("metrics"), Code::kContradiction,
-         "[metrics] has the port of another section");
+    bool differs_from_callers = port != settings_.callers.port;
+    if (differs_from_callers && port != settings_.control.port) return;
+    AddProblem(Line("metrics"), Code::kContradiction,
+               "[metrics] has the port of another section");
   }
 
   void CheckPeers() {
@@ -242,45 +244,45 @@
     for (const PeerSettings& peer : settings_.peers) {
       std::string address = Format(peer.control);
       if (peer.id == settings_.id) {
-        Note(Line("peers"), Code::kContradiction,
-             absl::StrCat(peer.id.str(), " is this host itself"));
+        AddProblem(Line("peers"), Code::kContradiction,
+                   absl::StrCat(peer.id.str(), " is this host itself"));
       }
       if (!peer.control.ip.empty() && peer.control.port == 0) {
-        Note(Line("peers"), Code::kOutOfRange,
-             absl::StrCat(peer.id.str(), " has no port"));
+        AddProblem(Line("peers"), Code::kOutOfRange,
+                   absl::StrCat(peer.id.str(), " has no port"));
       }
       if (!peer.control.ip.empty() && !addresses.insert(address).second) {
-        Note(Line("peers"), Code::kContradiction,
-             absl::StrCat(address, " stands for two peers"));
+        AddProblem(Line("peers"), Code::kContradiction,
+                   absl::StrCat(address, " is the address of two peers"));
       }
     }
   }
 
   void CheckPlatform() {
-    if (settings_.platform.retry_least <= settings_.platform.retry_most) return;
-    Note(Line("platform"), Code::kContradiction,
-         "retry_least is longer than retry_most");
+    if (settings_.platform.min_delay <= settings_.platform.max_delay) return;
+    AddProblem(Line("platform"), Code::kContradiction,
+               "retry_least is longer than retry_most");
   }
 
   void CheckMembership() {
     const MembershipSettings& membership = settings_.membership;
-    // One lost message would make a healthy host a suspect.
+    // Otherwise a single lost message would make a healthy host a suspect.
     if (membership.suspect_after < 2 * membership.heartbeat) {
-      Note(Line("membership"), Code::kContradiction,
-           "suspect_after is under two heartbeats");
+      AddProblem(Line("membership"), Code::kContradiction,
+                 "suspect_after is under two heartbeats");
     }
     if (membership.forget_after <= membership.suspect_after) {
-      Note(Line("membership"), Code::kContradiction,
-           "forget_after is not longer than suspect_after");
+      AddProblem(Line("membership"), Code::kContradiction,
+                 "forget_after is not longer than suspect_after");
     }
   }
 
   int Line(const std::string& kind) const {
-    auto found = seen_.find(kind);
-    return found == seen_.end() ? 0 : found->second;
+    auto found = section_lines_.find(kind);
+    return found == section_lines_.end() ? 0 : found->second;
   }
 
-  void Note(int line, Code code, std::string text) {
+  void AddProblem(int line, Code code, std::string text) {
     problems_->push_back({document_.file, line, code, std::move(text)});
   }
 
@@ -288,14 +290,14 @@
   const std::string& folder_;
   Problems* problems_;
   HostSettings settings_;
-  absl::flat_hash_map<std::string, int> seen_;
+  absl::flat_hash_map<std::string, int> section_lines_;
 };
 
 }  // namespace
 
 HostSettings ReadHostSettings(const Document& document,
                               const std::string& folder, Problems* problems) {
-  return HostReader(document, folder, problems).Read();
+  return HostSettingsReader(document, folder, problems).Read();
 }
 
 Outcome<HostSettings> LoadHostSettings(const std::string& path) {
--- a/src/settings/host_settings.h
+++ b/src/settings/host_settings.h
@@ -1,5 +1,5 @@
-// The settings of one entry host's process: an immutable value, read from INI
-// and checked as a whole before anything starts. docs/SETTINGS.md lists them.
+// The settings of an entry host's process. They are immutable, and the whole
+// INI file is read and checked before anything starts. See docs/SETTINGS.md.
 
 #ifndef GENTIANLB_SETTINGS_HOST_SETTINGS_H_
 #define GENTIANLB_SETTINGS_HOST_SETTINGS_H_
@@ -17,7 +17,7 @@
 
 namespace gentianlb::settings {
 
-// PEM texts; TLS is on when both are set.
+// PEM texts; TLS is enabled when both are set.
 struct TlsSettings {
   std::string certificate_pem;
   std::string private_key_pem;
@@ -25,7 +25,7 @@
   bool operator==(const TlsSettings&) const = default;
 };
 
-// Bounds of the callers' connections.
+// Limits of callers' connections.
 struct LimitSettings {
   std::int64_t body_bytes = 8 << 20;
   std::int64_t header_bytes = 32 << 10;
@@ -44,8 +44,9 @@
 struct PlatformSettings {
   std::vector<Endpoint> addresses;  // Tried in order.
   absl::Duration timeout = absl::Seconds(2);
-  absl::Duration retry_least = absl::Milliseconds(100);
-  absl::Duration retry_most = absl::Seconds(5);
+  // Limits of the delay before a retry.
+  absl::Duration min_delay = absl::Milliseconds(100);
+  absl::Duration max_delay = absl::Seconds(5);
   absl::Duration list_period = absl::Seconds(5);  // Of live and leaving hosts.
   bool operator==(const PlatformSettings&) const = default;
 };
@@ -54,20 +55,20 @@
   absl::Duration heartbeat = absl::Milliseconds(500);
   absl::Duration suspect_after = absl::Seconds(2);
   absl::Duration forget_after = absl::Minutes(5);
-  absl::Duration lease = absl::Seconds(10);  // Of the roles that need one.
-  int fanout = 3;                            // Peers told in each heartbeat.
+  absl::Duration lease = absl::Seconds(10);  // Of roles that require a lease.
+  int fanout = 3;                            // Peers per heartbeat.
   bool operator==(const MembershipSettings&) const = default;
 };
 
-// How the confirmed configuration is followed.
+// How often the host polls the confirmed configuration.
 struct FollowSettings {
   absl::Duration period = absl::Seconds(2);
   bool operator==(const FollowSettings&) const = default;
 };
 
 struct LogSettings {
-  std::string folder;  // Empty: to the standard error output.
-  int level = 0;       // Of glog: 0 info, 1 warning, 2 error.
+  std::string folder;  // Empty: standard error.
+  int level = 0;       // The glog level: 0 info, 1 warning, 2 error.
   bool operator==(const LogSettings&) const = default;
 };
 
@@ -76,11 +77,11 @@
   ZoneId zone;
   Endpoint callers;  // Port 0: the kernel picks one.
   TlsSettings callers_tls;
-  Endpoint control;  // Peers and operators.
+  Endpoint control;  // For peers and operators.
   TlsSettings control_tls;
   std::string peer_key;
   std::string operator_key;
-  std::optional<Endpoint> metrics;  // None: on the callers' port.
+  std::optional<Endpoint> metrics;  // Unset: on the callers' port.
   PlatformSettings platform;
   std::vector<PeerSettings> peers;
   LimitSettings limits;
@@ -92,15 +93,16 @@
   bool operator==(const HostSettings&) const = default;
 };
 
-// Reads and checks a document; `folder` is where relative files are looked for.
-// With any problem noted, the value must not be used.
+// Reads and checks a document. Relative file names are resolved in `folder`.
+// The result must not be used if a problem was added.
 HostSettings ReadHostSettings(const Document& document,
                               const std::string& folder, Problems* problems);
 
-// Reads and checks the file; the error lists all problems, one a line.
+// Reads and checks the file at `path`. The error lists all problems, one per
+// line.
 Outcome<HostSettings> LoadHostSettings(const std::string& path);
 
-// The folder that holds `path`.
+// Returns the folder that contains `path`.
 std::string FolderOf(std::string_view path);
 
 }  // namespace gentianlb::settings
--- a/src/settings/host_settings_test.cc
+++ b/src/settings/host_settings_test.cc
@@ -5,7 +5,7 @@
 namespace gentianlb::settings {
 namespace {
 
-constexpr std::string_view kGood =
+constexpr std::string_view kValidSettings =
     "[host]\n"
     "id = abdali-1\n"
     "zone = abdali\n"
@@ -18,37 +18,38 @@
     "[platform]\n"
     "addresses = 127.0.0.1:7000, 127.0.0.1:7001\n";
 
-struct Checked {
+struct CheckResult {
   HostSettings settings;
   std::string problems;
 };
 
-Checked Check(const std::string& text) {
+CheckResult Check(const std::string& text) {
   Problems problems;
   Document document = ParseDocument("h.ini", text, &problems);
-  Checked checked;
-  checked.settings = ReadHostSettings(document, ".", &problems);
-  checked.problems = Format(problems);
-  return checked;
+  CheckResult result;
+  result.settings = ReadHostSettings(document, ".", &problems);
+  result.problems = Format(problems);
+  return result;
 }
 
-BOOST_AUTO_TEST_CASE(ReadsAWholeFileAndKeepsTheDefaults) {
-  Checked checked = Check(std::string(kGood) +
-                          "[limits]\nbody = 2MiB ; small\nidle_timeout = 5s\n"
-                          "[peers]\nsahab-1 = 10.0.0.2:9000\n");
-  BOOST_TEST(checked.problems == "");
-  BOOST_TEST(checked.settings.id.str() == "abdali-1");
-  BOOST_TEST(checked.settings.platform.addresses.size() == 2u);
-  BOOST_TEST(checked.settings.limits.body_bytes == 2 << 20);
-  BOOST_TEST((checked.settings.limits.idle_timeout == absl::Seconds(5)));
-  BOOST_TEST(checked.settings.peers.at(0).control.port == 9000);
-  BOOST_TEST((checked.settings.membership == MembershipSettings()));
+BOOST_AUTO_TEST_CASE(ReadsCompleteFileAndKeepsDefaults) {
+  CheckResult result =
+      Check(std::string(kValidSettings) +
+            "[limits]\nbody = 2MiB ; small\nidle_timeout = 5s\n"
+            "[peers]\nsahab-1 = 10.0.0.2:9000\n");
+  BOOST_TEST(result.problems == "");
+  BOOST_TEST(result.settings.id.str() == "abdali-1");
+  BOOST_TEST(result.settings.platform.addresses.size() == 2u);
+  BOOST_TEST(result.settings.limits.body_bytes == 2 << 20);
+  BOOST_TEST((result.settings.limits.idle_timeout == absl::Seconds(5)));
+  BOOST_TEST(result.settings.peers.at(0).control.port == 9000);
+  BOOST_TEST((result.settings.membership == MembershipSettings()));
 }
 
-// An operator's first file has many slips. With one message a run he starts it
-// ten times; the user sees a host that never comes up.
-BOOST_AUTO_TEST_CASE(ReportsEveryProblemAtOnceWithItsLine) {
-  Checked checked = Check(
+// An operator's first file has many mistakes. If each run reported only one of
+// them, the operator would have to start the host ten times.
+BOOST_AUTO_TEST_CASE(ReportsAllProblemsWithTheirLines) {
+  CheckResult result = Check(
       "[host]\n"
       "id = abdali-1\n"
       "id = abdali-2\n"
@@ -65,7 +66,7 @@
       "addresses = 127.0.0.1:7000\n"
       "retry_least = 10s\n"
       "retry_most = 1s\n");
-  BOOST_TEST(checked.problems ==
+  BOOST_TEST(result.problems ==
              "h.ini:0: 6008 MissingSetting: [control] is missing\n"
              "h.ini:1: 6008 MissingSetting: zone is missing in [host]\n"
              "h.ini:3: 6004 DuplicateSetting: id stands in line 2\n"
@@ -84,9 +85,9 @@
 }
 
 // A key that is missing, short, unreadable or the same for peers and operators
-// leaves the control port open to more people than meant; nobody sees it until
-// a stranger confirms a plan.
-BOOST_AUTO_TEST_CASE(RefusesWeakKeysAndShowsNone) {
+// exposes the control port to unauthorized clients. This could go unnoticed
+// until one of them confirms a plan.
+BOOST_AUTO_TEST_CASE(RejectsWeakKeysWithoutShowingThem) {
   std::string head = "[control]\naddress = 127.0.0.1:0\n";
   std::string weak = Check(head + "peer_key = hush\n").problems;
   BOOST_TEST(weak.find("h.ini:3: 6006 OutOfRange: peer_key") !=
@@ -103,10 +104,10 @@
   BOOST_TEST(unread.find("h.ini:3: 6009") != std::string::npos);
 }
 
-// A certificate without its key would leave a port in clear text that the
+// A certificate without its key would leave a port unencrypted that the
 // operator believes to be encrypted.
-BOOST_AUTO_TEST_CASE(RefusesHalfAnEncryption) {
-  std::string text(kGood);
+BOOST_AUTO_TEST_CASE(RejectsCertificateWithoutKey) {
+  std::string text(kValidSettings);
   text += "[metrics]\naddress = 127.0.0.1:0\ncertificate_file = x\n";
   std::string problems = Check(text).problems;
   BOOST_TEST(problems.find("6003") != std::string::npos);
@@ -115,7 +116,7 @@
   BOOST_TEST(problems.find("h.ini:3: 6007") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(IndentedLinesAndLongHeadersAreNotSwallowed) {
+BOOST_AUTO_TEST_CASE(ReadsIndentedLinesAndRejectsLongHeaders) {
   Problems problems;
   Document document = ParseDocument(
       "f", "\xEF\xBB\xBF[a]\n k = 1\n   l = 2\n[empty]\n", &problems);
--- a/src/settings/problem.h
+++ b/src/settings/problem.h
@@ -1,5 +1,6 @@
-// What a check of settings or an intent found: all of it at once, each with
-// its place, so that an operator mends a file in one go.
+// The problems that a check of settings or an intent finds. A check reports all
+// problems with their locations, so that an operator can fix a file in one
+// pass.
 
 #ifndef GENTIANLB_SETTINGS_PROBLEM_H_
 #define GENTIANLB_SETTINGS_PROBLEM_H_
@@ -14,7 +15,7 @@
 
 struct Problem {
   std::string file;
-  int line = 0;  // 0: the file as a whole.
+  int line = 0;  // 0: the whole file.
   Code code = Code::kInternal;
   std::string text;
   auto operator<=>(const Problem&) const = default;
@@ -22,13 +23,14 @@
 
 using Problems = std::vector<Problem>;
 
-// `FILE:LINE: CODE name: text`.
+// Returns `FILE:LINE: CODE name: text`.
 std::string Format(const Problem& problem);
 
-// One line each, by file and line.
+// Returns one line per problem, sorted by file and line.
 std::string Format(Problems problems);
 
-// The first problem as an Error that tells how many there are.
+// Returns an error with the code of the first problem and the text of all
+// problems.
 Error ToError(Problems problems);
 
 }  // namespace gentianlb::settings
--- a/src/settings/units.cc
+++ b/src/settings/units.cc
@@ -30,10 +30,10 @@
 constexpr std::array<Unit, 1> kJoules = {{{"J", 1}}};
 constexpr std::array<Unit, 1> kTokenRates = {{{"tokens/s", 1}}};
 constexpr std::array<Unit, 1> kPercents = {{{"%", 0.01}}};
-constexpr std::array<Unit, 1> kNone = {{{"", 1}}};
+constexpr std::array<Unit, 1> kNoUnit = {{{"", 1}}};
 
-// Largest figure that a double holds without loss.
-constexpr double kMaxFigure = 9007199254740992.0;
+// Integers below this are exact in a double.
+constexpr double kMaxExactNumber = 9007199254740992.0;
 
 std::string UnitNames(std::span<const Unit> units) {
   std::string names;
@@ -44,7 +44,7 @@
   return names.empty() ? "no unit" : names;
 }
 
-Error WrongUnit(std::string_view text, std::span<const Unit> units) {
+Error UnitError(std::string_view text, std::span<const Unit> units) {
   return {Code::kBadUnit,
           absl::StrCat("'", std::string(text), "' is not a figure with ",
                        UnitNames(units))};
@@ -52,22 +52,22 @@
 
 Outcome<double> ParseWithUnit(std::string_view text,
                               std::span<const Unit> units) {
-  double figure = 0;
+  double number = 0;
   auto [end, error] =
-      std::from_chars(text.data(), text.data() + text.size(), figure);
-  if (error != std::errc() || !std::isfinite(figure)) {
-    return WrongUnit(text, units);
+      std::from_chars(text.data(), text.data() + text.size(), number);
+  if (error != std::errc() || !std::isfinite(number)) {
+    return UnitError(text, units);
   }
   std::string_view suffix = text.substr(end - text.data());
   while (suffix.starts_with(' ')) suffix.remove_prefix(1);
   for (const Unit& unit : units) {
     if (suffix != unit.suffix) continue;
-    double value = figure * unit.factor;
-    if (std::abs(value) < kMaxFigure) return value;
+    double value = number * unit.factor;
+    if (std::abs(value) < kMaxExactNumber) return value;
     return Error{Code::kOutOfRange,
                  absl::StrCat("'", std::string(text), "' is too large")};
   }
-  return WrongUnit(text, units);
+  return UnitError(text, units);
 }
 
 bool IsNameChar(char c) {
@@ -106,7 +106,7 @@
 }
 
 Outcome<double> ParseNumber(std::string_view text) {
-  return ParseWithUnit(text, kNone);
+  return ParseWithUnit(text, kNoUnit);
 }
 
 Outcome<std::int64_t> ParseInteger(std::string_view text) {
@@ -119,15 +119,15 @@
 }
 
 Outcome<Endpoint> ParseEndpoint(std::string_view text) {
-  Error wrong{Code::kBadUnit,
-              absl::StrCat("'", std::string(text), "' is not IP:PORT")};
+  Error format_error{Code::kBadUnit,
+                     absl::StrCat("'", std::string(text), "' is not IP:PORT")};
   std::size_t colon = text.rfind(':');
-  if (colon == std::string_view::npos) return wrong;
+  if (colon == std::string_view::npos) return format_error;
   std::string_view ip = text.substr(0, colon);
-  bool brackets = ip.starts_with('[') && ip.ends_with(']');
-  if (brackets) ip = ip.substr(1, ip.size() - 2);
+  bool bracketed = ip.starts_with('[') && ip.ends_with(']');
+  if (bracketed) ip = ip.substr(1, ip.size() - 2);
   auto port = ParseInteger(text.substr(colon + 1));
-  if (!IsIp(ip) || !port.ok()) return wrong;
+  if (!IsIp(ip) || !port.ok()) return format_error;
   if (port.value() < 0 || port.value() > 65535) {
     return Error{Code::kOutOfRange,
                  absl::StrCat("port ", port.value(), " is not 0 to 65535")};
@@ -136,16 +136,16 @@
 }
 
 std::string Format(const Endpoint& endpoint) {
-  bool brackets = endpoint.ip.find(':') != std::string::npos;
-  return absl::StrCat(brackets ? "[" : "", endpoint.ip, brackets ? "]" : "",
+  bool bracketed = endpoint.ip.find(':') != std::string::npos;
+  return absl::StrCat(bracketed ? "[" : "", endpoint.ip, bracketed ? "]" : "",
                       ":", endpoint.port);
 }
 
 bool IsIp(std::string_view text) {
   std::string ip(text);
-  in6_addr room{};
-  return inet_pton(AF_INET, ip.c_str(), &room) == 1 ||
-         inet_pton(AF_INET6, ip.c_str(), &room) == 1;
+  in6_addr address{};
+  return inet_pton(AF_INET, ip.c_str(), &address) == 1 ||
+         inet_pton(AF_INET6, ip.c_str(), &address) == 1;
 }
 
 bool IsName(std::string_view text) {
--- a/src/settings/units.h
+++ b/src/settings/units.h
@@ -1,5 +1,5 @@
-// Values with units. A figure without its unit is refused: 30 may be seconds
-// to one reader and milliseconds to the next.
+// Parsers for values with units. A value without its unit is rejected: a reader
+// could take 30 for seconds or milliseconds.
 
 #ifndef GENTIANLB_SETTINGS_UNITS_H_
 #define GENTIANLB_SETTINGS_UNITS_H_
@@ -12,30 +12,31 @@
 
 namespace gentianlb::settings {
 
-// `250ms`, `1.5s`, `10m`, `2h`; whole microseconds.
+// Parses `250ms`, `1.5s`, `10m` or `2h`, rounded to whole microseconds.
 Outcome<absl::Duration> ParseDuration(std::string_view text);
 
-// `512B`, `16KiB`, `8MiB`, `2GiB`.
+// Parses `512B`, `16KiB`, `8MiB` or `2GiB` and returns bytes.
 Outcome<std::int64_t> ParseSize(std::string_view text);
 
-// `350W`, `4.2kW`.
+// Parses `350W` or `4.2kW` and returns watts.
 Outcome<double> ParseWatts(std::string_view text);
 
-// `0.5J`: energy.
+// Parses `0.5J` and returns joules.
 Outcome<double> ParseJoules(std::string_view text);
 
-// `1200tokens/s`.
+// Parses `1200tokens/s` and returns tokens per second.
 Outcome<double> ParseTokenRate(std::string_view text);
 
-// `40%` as 0.4.
+// Parses `40%` and returns 0.4.
 Outcome<double> ParsePercent(std::string_view text);
 
-// A number without a unit.
+// Parse a number without a unit.
 Outcome<double> ParseNumber(std::string_view text);
 Outcome<std::int64_t> ParseInteger(std::string_view text);
 
-// `IP:PORT` or `[IP]:PORT`: numbers only, since a process learns its addresses
-// from its settings and looks no names up.
+// A network address, written `IP:PORT` or `[IP]:PORT`. Host names are not
+// allowed: a process takes its addresses from its settings and resolves no
+// names.
 struct Endpoint {
   std::string ip;
   int port = 0;
@@ -43,13 +44,14 @@
 };
 Outcome<Endpoint> ParseEndpoint(std::string_view text);
 
-// As ParseEndpoint() takes it.
+// Returns the text that ParseEndpoint() parses.
 std::string Format(const Endpoint& endpoint);
 
-// Whether `text` is an IPv4 or IPv6 number.
+// Returns whether `text` is an IPv4 or IPv6 address.
 bool IsIp(std::string_view text);
 
-// Whether `text` may name a thing: letters, digits and -_.:/@, at most 128.
+// Returns whether `text` is a valid name: 1 to 128 letters, digits and -_.:/@
+// characters.
 bool IsName(std::string_view text);
 
 }  // namespace gentianlb::settings
