--- a/src/gateway/groups.cc
+++ b/src/gateway/groups.cc
@@ -18,8 +18,8 @@
 // milliseconds.
 constexpr absl::Duration kExclusionTime = absl::Seconds(1);
 
-// Only hosts with at least this fraction of the largest processor share
-// dispatch. A decision that takes 0.1 ms on the fastest host takes several
+// Min processor share of a dispatcher's host, relative to the largest share of
+// any host. A decision that takes 0.1 ms on the fastest host takes several
 // times as long on a small one, and all callers wait for it.
 constexpr double kMinRelativeProcessor = 0.75;
 
