--- a/src/gateway/host_fleet.cc
+++ b/src/gateway/host_fleet.cc
@@ -69,7 +69,7 @@
     absl::flat_hash_map<NameHash, ServerUse> uses;
     for (const ServerUse& use : peers.servers) uses[use.server] = use;
     forwarder_.UsedElsewhere(uses);
-    groups_.UsedElsewhere(uses);
+    groups_.SetPeerUses(uses);
   }
   ApplyPeerState(now);
 }
@@ -84,7 +84,7 @@
       return sharing_.HandleMessage(*changes);
     }
   } else {
-    return groups_.Take(bytes);
+    return groups_.HandleDatagram(bytes);
   }
   // Truncated or foreign. The peers' updates name the missing change, and this
   // host then requests it.
