--- a/src/schedule/answers.cc
+++ b/src/schedule/answers.cc
@@ -16,17 +16,17 @@
 constexpr double kSlowFactor = 3;
 constexpr double kSlowSeconds = 0.25;
 
-void CutWindow(State& state, Server& server) {
-  if (server.window.OnSlowResponse(state.now)) ++state.counters.window_cuts;
+void ReduceWindow(State& state, Server& server) {
+  if (server.window.OnSlowResponse(state.now)) ++state.counters.windows_reduced;
 }
 
-// Grows or cuts the window by one response and by the server's recent speed.
-// `running` is the number of streams on the server when the response arrived,
-// including its own. Without its own, the window of a plain service, whose
-// calls report nothing before their end, would never look full and never grow
-// again.
+// Grows or reduces the window after a response, depending on whether it was
+// slow and on the server's recent speed. `running` is the number of streams on
+// the server when the response arrived, including its own. Without its own, the
+// window of a plain service, whose calls report nothing before their end, would
+// never look full and never grow again.
 void UpdateWindow(State& state, Server& server, int running, bool slow) {
-  if (slow || server.speed.straggling()) return CutWindow(state, server);
+  if (slow || server.speed.straggling()) return ReduceWindow(state, server);
   server.window.OnGoodResponse(state.now, running >= server.window.streams());
 }
 
@@ -71,7 +71,7 @@
   UpdateWindow(state, server, server.running(), /*slow=*/false);
 }
 
-// Reserves more memory for an answer that exceeds its estimate.
+// Reserves more memory for an output that exceeds its estimate.
 void GrowMemoryReservation(State& state, RunIndex index, int tokens) {
   const RunningRequest& running = state.running.Get(index);
   if (tokens < running.origin.output.p90 || running.demand.plain) return;
@@ -88,14 +88,13 @@
 }
 
 // Frees the capacity of a finished request, whatever its outcome.
-void Release(State& state, const RunningRequest& running) {
-  Server& server = state.servers.at(running.server);
-  server.OnFinish(running.demand, running.first_token, state.now);
-  state.power.RemoveStream(running.server, !running.first_token,
-                           running.cancel_cause.has_value());
-  state.limits.RemoveRunning(running.origin.workspace);
-  if (running.cancel_cause == WasteCause::kPreempted)
-    --state.pending_preemptions;
+void Release(State& state, const RunningRequest& run) {
+  Server& server = state.servers.at(run.server);
+  server.OnFinish(run.demand, run.first_token, state.now);
+  state.power.RemoveStream(run.server, !run.first_token,
+                           run.cancel_cause.has_value());
+  state.limits.RemoveRunning(run.origin.workspace);
+  if (run.cancel_cause == WasteCause::kPreempted) --state.pending_preemptions;
 }
 
 void LearnFromResponse(State& state, const RunningRequest& running,
@@ -243,7 +242,7 @@
       // all work.
       server.RecordOutcome(/*failed=*/true);
       if (running.first_token) {
-        CutWindow(state, server);
+        ReduceWindow(state, server);
       } else {
         server.window.OnFailure(state.now);
       }
@@ -255,7 +254,7 @@
     case RequestOutcome::kShed:
       ++state.counters.shed_by_server;
       server.RecordOutcome(/*failed=*/true);
-      CutWindow(state, server);
+      ReduceWindow(state, server);
       break;
     case RequestOutcome::kNotSent:
       server.window.OnUnreachable(state.now);
@@ -284,7 +283,7 @@
       server.speed.AddFirstTokenSample(seconds,
                                        running.expected_first_token_uncached);
     }
-    CutWindow(state, server);
+    ReduceWindow(state, server);
     // Overdue again after twice the time.
     state.running.SetOverdueTime(index, state.now + waited);
     state.servers.Reindex(running.server, state.now);
--- a/src/schedule/answers.h
+++ b/src/schedule/answers.h
@@ -1,5 +1,5 @@
 // Handles progress and results of running requests, and learns server speeds,
-// answer lengths and cache contents from them.
+// output lengths and cache contents from them.
 
 #ifndef GENTIANLB_SCHEDULE_ANSWERS_H_
 #define GENTIANLB_SCHEDULE_ANSWERS_H_
@@ -18,7 +18,7 @@
 // request that was not sent is queued again or refused.
 void OnRequestFinished(State& state, const RequestFinished& event);
 
-// Cuts the windows of servers whose first tokens are overdue. A server that
+// Reduces the windows of servers whose first tokens are overdue. A server that
 // hangs sends no slow response to learn from, so only the missing response
 // shows it.
 void PenalizeOverdueServers(State& state);
--- a/src/schedule/counters.h
+++ b/src/schedule/counters.h
@@ -30,7 +30,7 @@
   std::uint64_t granted = 0;
   std::uint64_t completed = 0;
   std::uint64_t cancelled = 0;
-  std::uint64_t retried = 0;  // Queued again after EndKind::kNotSent.
+  std::uint64_t retried = 0;  // Queued again after RequestOutcome::kNotSent.
   // Refused requests by tier rank and result code.
   std::map<std::pair<int, Code>, std::uint64_t> refused;
   // Priority inversions: requests refused for lack of capacity or power while a
@@ -39,8 +39,8 @@
   double prefill_computed = 0;  // Tokens, predicted or reported.
   // Prompt tokens, indexed by WasteCause.
   std::array<double, kNumWasteCauses> prefill_wasted{};
-  std::uint64_t shed_by_server = 0;  // Rejected by a full server.
-  std::uint64_t window_cuts = 0;     // Reductions of a concurrency window.
+  std::uint64_t shed_by_server = 0;        // Rejected by a full server.
+  std::uint64_t windows_reduced = 0;       // Reductions of concurrency windows.
   std::uint64_t overdue_first_tokens = 0;  // First tokens found overdue.
   bool operator==(const Counters&) const = default;
 
