--- a/src/schedule/grant.cc
+++ b/src/schedule/grant.cc
@@ -28,7 +28,7 @@
 
 // Long requests leave an eighth of the streams to short ones, since a long
 // request holds its stream for minutes. This doesn't apply to requests with a
-// first token objective: short requests would take each stream that becomes
+// first token deadline: short requests would take each stream that becomes
 // free, and under overload the long ones would hardly be served.
 constexpr double kShortStreamReserve = 1.0 / 8;
 
@@ -38,7 +38,7 @@
 constexpr double kOverdueMarginSeconds = 2;
 
 // Returns the lanes by tier. Within a tier the first lane rotates; otherwise
-// the pool with the lowest number would get all the power.
+// the pool with the lowest index would get all the power.
 std::vector<LaneKey> RotateLanes(State& state) {
   std::vector<LaneKey> lanes = state.queue.Lanes();
   ++state.lane_rotation;
@@ -81,7 +81,7 @@
   bool GrantNext(const LaneKey& lane);
 
   // Grants one head. If `optimistic`, only urgent heads are tried, and lateness
-  // is judged by a short answer.
+  // is judged by a short output.
   bool GrantHead(const LaneKey& lane, bool optimistic);
 
   // Holds a server for a head that is too large for the free capacity.
@@ -99,8 +99,8 @@
   // If set, only these servers are tried.
   const std::vector<ServerIndex>* changed_servers_ = nullptr;
   bool pool_full_ = false;
-  // Every request of the lane was tried and would be late; some are urgent.
-  bool all_too_slow_ = false;
+  // Every request of the lane was tried, and an urgent one would be late.
+  bool urgent_too_slow_ = false;
   bool power_exhausted_ = false;
 };
 
@@ -158,11 +158,11 @@
 
 bool GrantRound::GrantNext(const LaneKey& lane) {
   return GrantHead(lane, /*optimistic=*/false) ||
-         (all_too_slow_ && GrantHead(lane, /*optimistic=*/true));
+         (urgent_too_slow_ && GrantHead(lane, /*optimistic=*/true));
 }
 
 bool GrantRound::GrantHead(const LaneKey& lane, bool optimistic) {
-  all_too_slow_ = false;
+  urgent_too_slow_ = false;
   heads_.clear();
   block_ = {};
   if (state_.queue.LaneEmpty(lane)) return false;
@@ -206,9 +206,10 @@
         break;
     }
   }
-  // If every request of the lane was tried and would be late, urgent ones are
-  // granted optimistically rather than lost while servers are idle.
-  all_too_slow_ = urgent && state_.queue.LaneSize(lane) <= heads_.size();
+  // If every request of the lane was tried and none could be granted, urgent
+  // ones that would be late are granted optimistically rather than lost while
+  // servers are idle.
+  urgent_too_slow_ = urgent && state_.queue.LaneSize(lane) <= heads_.size();
   return false;
 }
 
@@ -303,9 +304,9 @@
   }
   reserves.streams = std::min(reserves.streams, kMaxStreamReserve);
   reserves.power = std::min(reserves.power, kMaxPowerReserve);
-  const bool has_objective =
+  const bool has_first_token_deadline =
       waiting.request.first_token_due != absl::InfiniteFuture();
-  if (!waiting.is_long || has_objective) return reserves;
+  if (!waiting.is_long || has_first_token_deadline) return reserves;
   for (const auto& [tier, activity] : state.activity) {
     if (tier > rank) break;
     if (activity.last_short_arrival < since) continue;
--- a/src/schedule/intake.cc
+++ b/src/schedule/intake.cc
@@ -8,7 +8,7 @@
 namespace gentianlb::schedule {
 namespace {
 
-// A request is long if its expected answer is more than this many times the
+// A request is long if its expected output is more than this many times the
 // median of the service.
 constexpr int kLongFactor = 4;
 
@@ -27,8 +27,8 @@
 // restart.
 constexpr double kNoServerRetrySeconds = 2;
 
-// Returns the service time of an answer of `output` tokens on the fastest idle
-// server.
+// Returns the service time of `waiting` on the fastest idle server if its
+// output has `output` tokens.
 double MinServiceSeconds(const State& state, const WaitingRequest& waiting,
                          double output) {
   if (waiting.request.model.empty()) return 0;
@@ -66,9 +66,9 @@
 // Returns the sort key of a request within its workspace.
 //
 // Requests with a first token deadline are served shortest first, so that as
-// many as possible are in time if not all can be: answer lengths differ by a
+// many as possible are in time if not all can be: output lengths differ by a
 // factor of fifty, and a few long ones would occupy most streams. None waits
-// long, as all are granted or refused within their objective. Other requests
+// long, as all are granted or refused before that deadline. Other requests
 // are ordered by slack: a long one is served as its slack runs out.
 absl::Time OrderTime(const WaitingRequest& waiting,
                      absl::Duration usual_service) {
@@ -92,7 +92,7 @@
              : (above + ahead) / DrainPerSecond(state, waiting.pool);
 }
 
-// Returns whether the work ahead of it in its own tier takes longer than the
+// Returns whether the work ahead of `waiting` in its lane takes longer than the
 // time to its latest start, at the rate that higher tiers leave to the lane.
 bool LaneBacklogTooLong(const State& state, const WaitingRequest& waiting) {
   const LaneKey lane{waiting.request.tier, waiting.pool};
@@ -102,9 +102,9 @@
   return ahead > left * LaneDrainPerSecond(state, lane);
 }
 
-// Returns whether the backlog makes it miss its first token deadline.
-bool MissesFirstTokenObjective(const State& state,
-                               const WaitingRequest& waiting) {
+// Returns whether the backlog makes `waiting` miss its first token deadline.
+bool MissesFirstTokenDeadline(const State& state,
+                              const WaitingRequest& waiting) {
   if (waiting.request.first_token_due == absl::InfiniteFuture()) return false;
   const AdmissionEstimate estimate{
       .wait_seconds = EstimateWaitSeconds(state, waiting),
@@ -123,7 +123,7 @@
       .service_seconds = absl::ToDoubleSeconds(waiting.min_service_time),
       .deadline_seconds = absl::ToDoubleSeconds(request.deadline - state.now)};
   if (!DeadlineUnreachable(estimate) && !BacklogTooLong(estimate) &&
-      !MissesFirstTokenObjective(state, waiting)) {
+      !MissesFirstTokenDeadline(state, waiting)) {
     return false;
   }
   // Lack of power is reported only if no lower tier could give up some.
@@ -171,8 +171,8 @@
 }
 
 // Sheds a request if the queue is full. Returns true if `waiting` itself was
-// refused, because no lower tier waits and its own workspace has the most work
-// waiting.
+// refused, because only higher tiers wait, or because no lower tier waits and
+// its own workspace has the most work waiting.
 bool RefuseIfFull(State& state, const WaitingRequest& waiting) {
   if (state.queue.size() < state.options.max_waiting) return false;
   const Tier lowest = state.queue.LowestTier();
@@ -215,7 +215,7 @@
         waiting.output.median > kLongFactor * state.estimator.ServiceMedian();
   }
   waiting.work = RequestWork(request.prompt_tokens, waiting.output.median);
-  // Refusal is based on a short answer, urgency on one of median length.
+  // Refusal is based on a short output, urgency on one of median length.
   waiting.min_service_time = absl::Seconds(MinServiceSeconds(
       state, waiting, OptimisticOutputTokens(waiting.output)));
   const absl::Duration usual_service =
--- a/src/schedule/order.cc
+++ b/src/schedule/order.cc
@@ -11,7 +11,8 @@
 // evictions per grant keep up with the flows that become idle.
 constexpr int kMaxEvictionsPerGrant = 2;
 
-// Number of requests per set that Heads() takes from one workspace.
+// Maximum number of short, and of long, requests that Heads() takes from one
+// workspace.
 constexpr std::size_t kHeadDepth = 3;
 
 }  // namespace
@@ -233,14 +234,14 @@
   const auto found_flow = lane.flows.find(workspace);
   if (found_flow == lane.flows.end() || found_flow->second.empty()) return 0;
   const Flow& flow = found_flow->second;
-  const RequestSet& largest =
+  const RequestSet& larger =
       flow.short_requests.size() > flow.long_requests.size()
           ? flow.short_requests
           : flow.long_requests;
-  // Estimates the fraction ahead by interpolating between the set's first and
-  // last key.
-  const absl::Time first = largest.begin()->at;
-  const absl::Time last = largest.rbegin()->at;
+  // Estimates the fraction ahead by interpolating between the larger set's
+  // first and last key.
+  const absl::Time first = larger.begin()->at;
+  const absl::Time last = larger.rbegin()->at;
   double fraction = order_time < first ? 0 : 1;
   if (order_time >= first && order_time < last) {
     fraction = absl::FDivDuration(order_time - first, last - first);
--- a/src/schedule/order.h
+++ b/src/schedule/order.h
@@ -9,8 +9,9 @@
 // queueing, measured in tokens of work and not in requests. Within a workspace
 // the request with the least slack goes first, whatever its size: short
 // requests with a near deadline pass long ones, and a long one is served as its
-// own slack runs out. Each operation costs O(log n) in the number of waiting
-// requests.
+// own slack runs out. Requests with a first token deadline go shortest first
+// instead; see OrderTime() in intake.cc. Each operation but RequestsInPool()
+// costs O(log n) in the number of waiting requests.
 
 #ifndef GENTIANLB_SCHEDULE_ORDER_H_
 #define GENTIANLB_SCHEDULE_ORDER_H_
@@ -48,8 +49,8 @@
   OutputEstimate output;
   double work = 0;  // In tokens.
   bool is_long = false;
-  absl::Duration min_service_time;  // On the fastest idle server, short answer.
-  absl::Time latest_start;          // Latest start that meets the deadline.
+  absl::Duration min_service_time;  // On the fastest idle server, short output.
+  absl::Time latest_start;          // Latest start that meets both deadlines.
   absl::Time order_time;            // Sort key within its workspace.
   absl::Time urgent_at;             // From then on it may preempt.
   absl::Time enqueued_at;           // Time of arrival in the queue.
@@ -81,8 +82,8 @@
   bool LaneEmpty(const LaneKey& key) const;
 
   // Appends up to `limit` requests of the lane in the order in which they
-  // should be granted: first the first long and the first short request of each
-  // workspace, then the ones behind them.
+  // should be granted: of each workspace the first short and the first long
+  // request, then of each workspace the second ones, and so on.
   void Heads(const LaneKey& key, std::size_t limit,
              std::vector<WaitIndex>* heads) const;
 
@@ -98,11 +99,11 @@
   // Returns the lowest tier with waiting requests; rank -1 if there are none.
   Tier LowestTier() const;
 
-  // Returns the request to shed in `tier`: of the workspace with the most
-  // waiting work, the request with the most slack.
+  // Returns the request to shed in `tier`: in the lane with the most work, the
+  // last request of the workspace with the most work.
   WaitIndex ShedCandidate(Tier tier) const;
 
-  // Returns the workspace's request with the most slack in a lane; kNoIndex if
+  // Returns the workspace's last request in a lane, by order_time; kNoIndex if
   // it has none.
   WaitIndex LastInWorkspace(const LaneKey& key, WorkspaceIndex workspace) const;
 
--- a/src/schedule/output_estimator.cc
+++ b/src/schedule/output_estimator.cc
@@ -89,10 +89,10 @@
   if (request.expected_output_tokens > 0) {
     // Caller estimates are unbiased but imprecise: about 90 % of the outputs
     // stay below three times the estimate.
-    constexpr double kHintSpread = 3;
-    const int hint = request.expected_output_tokens;
-    return Clamp(OutputEstimate{.median = hint,
-                                .p90 = Clamp(hint * kHintSpread, 0),
+    constexpr double kCallerP90Factor = 3;
+    const int expected = request.expected_output_tokens;
+    return Clamp(OutputEstimate{.median = expected,
+                                .p90 = Clamp(expected * kCallerP90Factor, 0),
                                 .learnt = true},
                  bound);
   }
--- a/src/schedule/placer.cc
+++ b/src/schedule/placer.cc
@@ -19,7 +19,7 @@
 // assumed while other requests wait. With the median, a request could have
 // an even chance of being late and use capacity that another could use.
 // Deployments that weight wasted prefill above goodput use the 0.9 quantile.
-constexpr double kContendedSpread = 0.25;
+constexpr double kContendedPosition = 0.25;
 
 // Cost of a second of uncached prompt work relative to a second of finish time.
 // Computing a prompt also delays other prompts, draws as much power as many
@@ -34,9 +34,10 @@
 constexpr absl::Duration kMaxCacheWait = absl::Seconds(120);
 constexpr absl::Duration kMaxTopTierCacheWait = absl::Seconds(30);
 
-// A request waits only if the best server has more than this many more prompt
-// tokens cached, about 0.1 s of prefill, and the candidate has less than this
-// fraction of them.
+// A request is not sent to a candidate, but waits for the server with most of
+// its prompt cached, if the candidate lacks more than this many of the tokens
+// cached there (about 0.1 s of prefill) and has less than this fraction of
+// them.
 constexpr double kMinTokensToWaitFor = 512;
 constexpr double kMinCachedFraction = 0.5;
 
@@ -95,7 +96,7 @@
   double best_cached = 0;       // Most prompt tokens cached on any server.
 
   // Returns whether `server` is excluded for this request.
-  bool IsClosed(const ServerSet& servers, ServerIndex server) const {
+  bool IsExcluded(const ServerSet& servers, ServerIndex server) const {
     if (server == waiting.avoid && servers.pool(waiting.pool).usable > 1) {
       return true;
     }
@@ -114,7 +115,7 @@
   // A default must not block requests whose responses would provide real data.
   if (!waiting.output.learnt) return OptimisticOutputTokens(waiting.output);
   if (weights_.wasted_prefill > weights_.goodput) return median + spread;
-  return contended ? median + kContendedSpread * spread : median;
+  return contended ? median + kContendedPosition * spread : median;
 }
 
 bool Placer::MayWaitForCache(const WaitingRequest& waiting,
@@ -189,7 +190,7 @@
   const WaitingRequest& waiting = criteria.waiting;
   const auto& pools = server.pools;
   if (std::find(pools.begin(), pools.end(), waiting.pool) == pools.end()) {
-    return;  // Has the prefix cached for another model.
+    return;  // Changed, or has the prefix cached, but for another model.
   }
   if (!server.IsOpen(criteria.now)) return;
   const int reserved =
@@ -197,7 +198,7 @@
   if (server.FreeStreams(criteria.now) <= reserved && server.running() > 0) {
     return Block(BlockReason::kReserved, best);
   }
-  if (criteria.IsClosed(servers_, index)) return;
+  if (criteria.IsExcluded(servers_, index)) return;
 
   const double cached =
       std::min<double>(waiting.request.prompt_tokens,
--- a/src/schedule/placer.h
+++ b/src/schedule/placer.h
@@ -29,8 +29,9 @@
 enum class BlockReason {
   kNone,
   kNoCapacity,  // No server has a free stream.
-  kReserved,    // Free streams are reserved for short or urgent requests.
-  kTooSlow,     // The request would be late on every server with capacity.
+  kReserved,    // Free streams are reserved for short requests or higher tiers.
+  kTooSlow,     // Late on every server with capacity, or better off waiting for
+                // a server that has the prompt cached.
   kTooLarge,    // Streams are free, but memory or prefill capacity is short.
   kNoPower,     // The power share is used up.
 };
@@ -44,7 +45,7 @@
   double cached_tokens = 0;
 };
 
-// Capacity to keep free for more urgent or short requests.
+// Capacity to keep free for short requests and higher tiers.
 struct Reserves {
   double streams = 0;  // Fraction of each server's window.
   double power = 0;    // Fraction of the power share above idle.
--- a/src/schedule/refuse.h
+++ b/src/schedule/refuse.h
@@ -13,9 +13,10 @@
 // tier, what fair queueing serves first. Work of lower tiers never counts.
 //
 // Steady arrivals of higher tiers take most of a pool's drain rate. Judged by
-// that rate alone, a lower tier would be accepted, wait until its objective has
-// nearly passed, and then be refused. Therefore the drain rate of the request's
-// own lane, which is what higher tiers leave, is checked too.
+// that rate alone, a request of a lower tier would be accepted, wait until
+// shortly before its first token deadline, and then be refused. Therefore
+// requests with such a deadline are also checked against the drain rate of
+// their own lane, which is what higher tiers leave.
 
 #ifndef GENTIANLB_SCHEDULE_REFUSE_H_
 #define GENTIANLB_SCHEDULE_REFUSE_H_
