--- a/src/schedule/server.cc
+++ b/src/schedule/server.cc
@@ -10,19 +10,19 @@
 // grant arrives, so the engine does not become idle.
 constexpr double kMaxPrefillSeconds = 0.5;
 
-// Maximum age of the known number of other dispatchers' streams. Updates come
+// Maximum age of the known number of peer dispatchers' streams. Updates come
 // about every second; when they stop, the server must not stay closed forever.
 constexpr absl::Duration kMaxReportAge = absl::Seconds(10);
 
-// Own streams are subtracted from a load report to get those of other
+// Own streams are subtracted from a load report to get those of peer
 // dispatchers. The report is older than the current number of own streams, so
 // the peak over the last one to two periods is subtracted: it is at least the
 // number at the time of measurement.
 constexpr absl::Duration kPeakPeriod = absl::Seconds(5);
 
-// Delay until other dispatchers' grants are known, with 90 hosts. During it,
+// Delay until peer dispatchers' grants are known, with 90 hosts. During it,
 // each of many dispatchers would grant requests for the same free streams. So
-// each assumes that the others grant as many as it does. Without this, 30 to 60
+// each assumes that its peers grant as many as it does. Without this, 30 to 60
 // streams started at once on servers with 10 streams, and those requests waited
 // more than a second for their first token.
 constexpr absl::Duration kPeerUpdateDelay = absl::Milliseconds(300);
--- a/src/schedule/server.h
+++ b/src/schedule/server.h
@@ -52,11 +52,11 @@
   void OnFinish(const Demand& demand, bool first_token, absl::Time now);
   // Updates the failure rate by one finished request.
   void RecordOutcome(bool failed);
-  // Updates the streams of other dispatchers from the server's load report.
+  // Updates the streams of peer dispatchers from the server's load report.
   void OnLoadReport(const LoadReported& report, absl::Time now);
   // Updates them from the load sent with a response of the server.
   void OnResponseLoad(const ResponseLoadReported& load, absl::Time now);
-  // Updates them from what the other dispatchers publish.
+  // Updates them from what the peer dispatchers publish.
   void OnPeerLoad(const PeerLoadReported& load, absl::Time now);
 
   // --- Free capacity ---
@@ -82,7 +82,7 @@
                                     absl::Time now) const;
 
   int running() const { return running_; }
-  // Returns the number of streams of other dispatchers, 0 if not known.
+  // Returns the number of streams of peer dispatchers, 0 if not known.
   int PeerStreams(absl::Time now) const;
   // Returns the number of streams without a first token.
   int prefilling() const { return prefilling_; }
@@ -99,7 +99,7 @@
   double PrefillBacklog(absl::Time now) const;
   // Returns the maximum of running_ over the last one to two periods.
   int OwnPeak() const;
-  // Returns an estimate of the streams that other dispatchers have granted but
+  // Returns an estimate of the streams that peer dispatchers have granted but
   // not yet reported, assuming that they make the same choices.
   int UnreportedStreams(absl::Time now) const;
   void UpdatePeak(absl::Time now);
@@ -113,8 +113,8 @@
   double prefill_tokens_ = 0;   // Of the streams without a first token.
   absl::Time prefill_since_;    // When the current prompt was started.
   std::int64_t kv_tokens_ = 0;  // Reserved for running streams.
-  int peer_streams_ = 0;        // Streams of other dispatchers, last known.
-  // Streams of other dispatchers that slow down the batch. Not updated by load
+  int peer_streams_ = 0;        // Streams of peer dispatchers, last known.
+  // Streams of peer dispatchers that slow down the batch. Not updated by load
   // reports, which are too old for it.
   int peer_batch_streams_ = 0;
   absl::Time peer_streams_measured_;
--- a/src/schedule/server_set.h
+++ b/src/schedule/server_set.h
@@ -65,7 +65,7 @@
   void Reindex(ServerIndex server, absl::Time now);
 
   // Returns the fraction of the pool's running streams that this dispatcher
-  // granted. Counts the streams of other dispatchers only where they are known.
+  // granted. Counts the streams of peer dispatchers only where they are known.
   double OwnShare(PoolIndex pool, absl::Time now) const;
 
   // Returns when the next closed server may be probed or the slowdown of the
--- a/src/schedule/speed_estimator.h
+++ b/src/schedule/speed_estimator.h
@@ -27,8 +27,8 @@
 
   // Adds one measurement: measured time divided by expected time.
   void Add(double sample);
-  // Sets both averages to a slowdown measured by other dispatchers, unless
-  // there are enough own samples.
+  // Sets both averages to a slowdown measured by peer dispatchers, unless there
+  // are enough own samples or the expectation is certain.
   void Seed(double slowdown);
   // Whether the averages rest on own samples or a certain expectation.
   bool measured() const { return samples_ > 0; }
@@ -74,7 +74,8 @@
   // Returns the expected time that AddFirstTokenSample() compares a measurement
   // with. Must be called when the request is sent.
   FirstTokenTime ExpectedFirstToken(double prefill_tokens, int streams) const;
-  // Returns `expected` as a total in seconds.
+  // Returns the total of `expected` in seconds. If the configured speeds are
+  // estimates, the prompt is scaled by the learnt slowdown.
   double TotalSeconds(const FirstTokenTime& expected) const;
 
   // Adds the measured time to a first token.
@@ -83,8 +84,8 @@
   void AddDecodeSample(double seconds_per_token, int streams);
   // Adds the measured duration of a call of a plain service.
   void AddCallSample(double seconds);
-  // Sets the slowdowns measured by other dispatchers, until there are enough
-  // own samples.
+  // Sets the slowdowns measured by peer dispatchers, unless there are enough
+  // own samples or the configured speeds are certain.
   void Seed(double prefill, double decode);
   // Moves all learnt values toward normal. Called when there are no new
   // samples.
