--- a/src/schedule/dispatcher.h
+++ b/src/schedule/dispatcher.h
@@ -53,8 +53,8 @@
   std::size_t running() const;
 
   // Returns the slowdown of a server that this dispatcher measured itself, to
-  // be published to peers; nullopt if there are no samples or the server is
-  // unknown.
+  // be published to peers; nullopt if its speeds are estimates without samples,
+  // or if it is unknown.
   std::optional<PeerSlowdownReported> MeasuredSlowdown(
       const ServerId& server) const;
 
--- a/src/schedule/limits.h
+++ b/src/schedule/limits.h
@@ -44,7 +44,8 @@
 // Describes which limit a request exceeds.
 struct LimitBreach {
   Code code = Code::kRateLimited;
-  absl::Duration retry_after;  // Zero: once the workspace's backlog drains.
+  // Until the token bucket has tokens again; zero for the other limits.
+  absl::Duration retry_after;
   bool operator==(const LimitBreach&) const = default;
 };
 
--- a/src/schedule/messages.h
+++ b/src/schedule/messages.h
@@ -104,7 +104,7 @@
   // Used instead of `prefix` by callers that split their prompts themselves:
   // the end of each part, in ascending order.
   std::vector<PrefixMark> parts;
-  // Time by which the first token must be out to meet the objective.
+  // Deadline of the first token; InfiniteFuture() if there is none.
   absl::Time first_token_due = absl::InfiniteFuture();
   int expected_output_tokens = 0;  // The caller's estimate; 0: none.
   ServerId avoid;                  // Server of a failed attempt; empty: none.
@@ -150,7 +150,7 @@
   RequestId id;
   RequestOutcome kind = RequestOutcome::kComplete;
   int output_tokens = 0;
-  int cached_prompt_tokens = 0;  // As reported by the engine; 0 if it isn't.
+  int cached_prompt_tokens = 0;  // From the engine; 0 if not reported.
 };
 
 // Load reported by a server when polled; outdated on arrival.
@@ -216,7 +216,7 @@
   double watts = 0;
 };
 
-// No event but the passing of time.
+// Only time has passed.
 struct TimePassed {};
 
 using Event =
@@ -261,12 +261,12 @@
 template <typename P>
 concept DispatchPolicy = requires(P policy, const Event& event, absl::Time now,
                                   std::vector<Decision>* decisions,
-                                  const P& fixed) {
+                                  const P& const_policy) {
   // Appends the decisions on `event`, in order.
   policy.Handle(event, now, decisions);
   // Returns the latest time at which TimePassed is due; InfiniteFuture() if
   // never.
-  { fixed.NextWakeup() } -> std::same_as<absl::Time>;
+  { const_policy.NextWakeup() } -> std::same_as<absl::Time>;
 };
 
 }  // namespace gentianlb::schedule
--- a/src/schedule/options.h
+++ b/src/schedule/options.h
@@ -16,8 +16,8 @@
   Weights weights;
   std::uint64_t seed = 1;  // Seeds the jitter of retry-after times.
   // Maximum number of waiting requests over all tiers. A request without its
-  // body takes about 1 KB, so a full queue stays well below the 128 MB that
-  // control may use on a host.
+  // body takes about 1 KB, so a full queue stays well below the 128 MB that the
+  // load balancer may use on a host.
   std::size_t max_waiting = 20000;
   // Power share in watts until the first PowerShareChanged. With 0, the
   // dispatcher grants nothing that draws power before that event, so a power
--- a/src/schedule/prefix_cache_tracker.cc
+++ b/src/schedule/prefix_cache_tracker.cc
@@ -5,17 +5,17 @@
 namespace gentianlb::schedule {
 namespace {
 
-// Each depth is 1/4 deeper than the one before: 23 lookups for 512 blocks.
+// Each depth is 1/4 deeper than the one before: 28 lookups for 512 blocks.
 constexpr int kDepthGrowthDivisor = 4;
 
 // An entry takes about 64 bytes in the holder vector and the insertion order:
-// 16 MB in total, of the 128 MB that control may use on a host.
+// 16 MB in total, of the 128 MB that the load balancer may use on a host.
 constexpr std::size_t kMaxEntries = 262144;
 
 // Fraction of the cache that counts as replaced when events were lost.
 constexpr double kGapReplacedFraction = 0.25;
 
-// Time after which an unused entry counts as evicted, because other dispatchers
+// Time after which an unused entry counts as evicted, because peer dispatchers
 // and the engine itself also use the cache.
 constexpr absl::Duration kMaxEntryAge = absl::Minutes(10);
 
--- a/src/schedule/state.h
+++ b/src/schedule/state.h
@@ -76,8 +76,8 @@
   std::map<int, TierActivity> activity;  // By tier rank.
   std::uint64_t next_sequence = 0;
   Changes changes;
-  bool power_exhausted = false;  // Set if the last round ran out of power,
-  LaneKey power_exhausted_lane;  // in this lane.
+  bool power_exhausted = false;  // Whether the last round ran out of power.
+  LaneKey power_exhausted_lane;  // The lane in which it did.
   int pending_preemptions = 0;   // Cancelled for a higher tier, not finished.
   std::map<LaneKey, LaneBlock> lane_blocks;  // Of lanes that were tried.
   std::uint64_t lane_rotation = 0;           // Rotates the lanes within a tier.
