--- a/src/schedule/dispatcher_test.cc
+++ b/src/schedule/dispatcher_test.cc
@@ -116,7 +116,7 @@
 }
 
 // A prompt of 30000 tokens takes six seconds on a healthy engine. If that were
-// taken for a hang, the engine would lose its window.
+// taken for a hang, the engine's window would be reduced.
 BOOST_AUTO_TEST_CASE(LongPrefillIsNotTakenForAHang) {
   FakeSite site;
   site.AddServers(1);
@@ -132,7 +132,7 @@
 BOOST_AUTO_TEST_CASE(ShortRequestsPassLongOnesWithoutStarvingThem) {
   FakeSite site;
   site.AddServers(2);
-  for (int i = 0; i < 60; ++i) {  // The usual answer length.
+  for (int i = 0; i < 60; ++i) {  // The usual output length.
     site.Send("chat", 1, absl::Seconds(10), 50, 20);
     site.Run(absl::Milliseconds(100));
   }
@@ -307,8 +307,8 @@
   BOOST_TEST((site.outcomes.at(unknown.id).code == Code::kNoServer));
 }
 
-// A caller disconnects while its answer is computed. The engine must stop, and
-// the computed prompt counts as wasted.
+// A caller disconnects while its response is computed. The engine must stop,
+// and the computed prompt counts as wasted.
 BOOST_AUTO_TEST_CASE(DisconnectedCallerFreesItsCapacity) {
   FakeSite site;
   site.AddServers(1);
@@ -370,7 +370,7 @@
   BOOST_TEST(used.size() == 1u);
 }
 
-// A plain service sheds some calls, which cuts its windows. Later it answers
+// A plain service sheds some calls, which reduces its windows. Later it answers
 // all calls at once, but calls report nothing before their end. If the windows
 // never grew again, callers would be refused while the server is nearly idle.
 BOOST_AUTO_TEST_CASE(PlainServiceWindowGrowsAgain) {
@@ -409,10 +409,10 @@
   BOOST_TEST(dispatcher.window(ServerId("plain")) == 6);
 }
 
-// Short requests arrive steadily, and long ones have a first token objective.
+// Short requests arrive steadily, and long ones have a first token deadline.
 // If the last stream of each server were reserved for short requests, long ones
 // would be refused although streams are free.
-BOOST_AUTO_TEST_CASE(LongRequestWithObjectiveGetsTheLastStream) {
+BOOST_AUTO_TEST_CASE(LongRequestWithFirstTokenDeadlineGetsTheLastStream) {
   FakeSite site;
   site.AddServers(1);
   for (int i = 0; i < 100; ++i) {
@@ -436,9 +436,9 @@
   }
 }
 
-// The load exceeds the streams, and one answer in five is fifty times as long
+// The load exceeds the streams, and one output in five is fifty times as long
 // as the others. In order of arrival, long requests would hold nearly all
-// streams, and most short ones would be refused after their objective.
+// streams, and most short ones would wait and be refused as too late.
 BOOST_AUTO_TEST_CASE(OverloadFavorsShortRequests) {
   const auto run_scenario = [](int interval_ms) {
     FakeSite site;
@@ -481,7 +481,7 @@
 LowerTierResult RunTwoTiers(double urgent_load, double lower_load) {
   constexpr int kPrompt = 500;
   constexpr int kOutput = 20;
-  // Four servers with eight streams can do about 60 such requests a second.
+  // At load 1; the four servers compute at most 10 such prompts a second each.
   constexpr double kPerSecond = 38;
   FakeSite site;
   site.AddServers(4);
@@ -528,8 +528,8 @@
 }
 
 // The urgent tier alone uses up the servers. Requests of the lower tier that
-// can't be in time must be refused on arrival, and not only when their
-// objective of a second has nearly passed.
+// can't be in time must be refused on arrival, and not only shortly before
+// their first token deadline, a second later.
 BOOST_AUTO_TEST_CASE(LateRequestsAreRefusedOnArrival) {
   const LowerTierResult lower_tier = RunTwoTiers(1.2, 0.5);
   // Otherwise the next check has too few samples.
@@ -537,8 +537,8 @@
   BOOST_TEST(lower_tier.median_delay <= absl::Milliseconds(100));
 }
 
-// A third of the capacity is left for twice as much load of the lower tier. It
-// must be used, and requests beyond it must be refused early.
+// The urgent tier leaves a third of the capacity, and the lower tier's load is
+// twice that. The rest must be used, and requests beyond it refused early.
 BOOST_AUTO_TEST_CASE(LowerTierUsesTheRemainingCapacity) {
   const LowerTierResult lower_tier = RunTwoTiers(0.67, 0.67);
   BOOST_TEST(lower_tier.refused >= 0.2 * lower_tier.sent);
@@ -546,8 +546,8 @@
   BOOST_TEST(lower_tier.in_time >= 0.4 * lower_tier.sent);
 }
 
-// A server is removed from the configuration. Running requests finish there,
-// and it gets no new ones.
+// A server is leaving. It gets no new requests, and the other server answers
+// them all.
 BOOST_AUTO_TEST_CASE(LeavingServerGetsNoNewRequests) {
   FakeSite site;
   site.AddServers(2);
--- a/src/schedule/fake_site_test.h
+++ b/src/schedule/fake_site_test.h
@@ -53,8 +53,7 @@
     Deliver(ServersConfigured{specs});
   }
 
-  // Creates a request with `prompt` prompt tokens whose answer has `output`
-  // tokens.
+  // Creates a request with `prompt` prompt tokens and `output` output tokens.
   Request MakeRequest(const std::string& workspace, int tier,
                       absl::Duration deadline, int prompt, int output) {
     Request request;
@@ -234,13 +233,13 @@
       streams_[i] = stream;
       if (cancelled) streams_[i].result = cancelled;
     }
-    EndStreams();
+    FinishStreams();
     // Requests cancelled for a smaller share finish within this step.
     power_exceeded |= !streams_.empty() && dispatcher.worst_watts() > share;
     if (dispatcher.NextWakeup() <= now) Deliver(TimePassed{});
   }
 
-  void EndStreams() {
+  void FinishStreams() {
     finished_.clear();
     for (const Stream& stream : streams_) {
       if (stream.result) finished_.push_back(stream);
--- a/src/schedule/modules_test.cc
+++ b/src/schedule/modules_test.cc
@@ -95,7 +95,7 @@
 // Several hosts learn at the same time that a server has four free streams, and
 // each has four requests waiting. If all were sent, 12 of 16 callers would wait
 // for a slot. So each host sends one or two, and the rest after it has received
-// the load of the others.
+// the load of its peers.
 BOOST_AUTO_TEST_CASE(UnreportedPeerGrantsReduceFreeStreams) {
   ServerSpec spec;
   spec.max_streams = 10;
@@ -107,9 +107,9 @@
   BOOST_TEST(server.FreeStreams(At(0)) == 1);
   BOOST_TEST(server.FreeStreams(At(1)) == 3);
   spec.expected_competitors = 0;
-  Server alone(spec);
-  alone.OnGrant({}, At(0));
-  BOOST_TEST(alone.FreeStreams(At(0)) == 9);
+  Server uncontended(spec);
+  uncontended.OnGrant({}, At(0));
+  BOOST_TEST(uncontended.FreeStreams(At(0)) == 9);
 }
 
 // --- Power -------------------------------------------------------------------
@@ -332,7 +332,7 @@
   BOOST_TEST(configured.straggling());
 }
 
-// A slowdown measured by other dispatchers is used until there are enough own
+// A slowdown measured by peer dispatchers is used until there are enough own
 // samples.
 BOOST_AUTO_TEST_CASE(OwnSamplesOverrideTheSeed) {
   Slowdown slowdown(/*estimated=*/true);
--- a/src/schedule/order_test.cc
+++ b/src/schedule/order_test.cc
@@ -47,7 +47,7 @@
   BOOST_TEST(small == 10);
 }
 
-// If only estimates were charged, a workspace whose answers are ten times as
+// If only estimates were charged, a workspace whose outputs are ten times as
 // long as estimated would keep its advantage.
 BOOST_AUTO_TEST_CASE(CorrectionsAreCharged) {
   Queue q;
