--- a/src/gateway/aggregate.cc
+++ b/src/gateway/aggregate.cc
@@ -94,12 +94,12 @@
   if (!IsBelieved(source, now)) {
     source.counters = UseCounters();
   }
-  for (const UseGrowth& grown : source.counters.Take(
+  for (const UseDelta& grown : source.counters.Update(
            news.incarnation, news.workspaces, CountsAtFirst(news, now))) {
     const auto add = [&grown](Totals* totals) {
       Total& total = (*totals)[grown.workspace];
-      total.let_through += grown.let_through;
-      total.given_back += grown.given_back;
+      total.let_through += grown.admitted;
+      total.given_back += grown.refunded;
     };
     add(&source.counted);
     add(&total_);
@@ -118,12 +118,12 @@
 
 FirstMessage Aggregate::CountsAtFirst(const FleetNews& news,
                                       absl::Time now) const {
-  if (IsOfZone(news)) return FirstMessage::kUnheard;
+  if (IsOfZone(news)) return FirstMessage::kUnreported;
   const auto zone = expected_zones_.find(news.sender.zone);
-  if (zone == expected_zones_.end()) return FirstMessage::kNothing;
+  if (zone == expected_zones_.end()) return FirstMessage::kIgnore;
   const bool began_since =
       now - zone->second.heard >= absl::Milliseconds(news.age_ms);
-  return began_since ? FirstMessage::kAll : FirstMessage::kNothing;
+  return began_since ? FirstMessage::kAll : FirstMessage::kIgnore;
 }
 
 void Aggregate::NoteHeard(const FleetNews& news, absl::Time now) {
--- a/src/gateway/demand.h
+++ b/src/gateway/demand.h
@@ -42,93 +42,95 @@
 
 // Tokens that another host has let through since it was heard last; below 0
 // where it gave back more.
-struct Spent {
+struct PeerUse {
   NameHash workspace = 0;
   double tokens = 0;
-  auto operator<=>(const Spent&) const = default;
+  auto operator<=>(const PeerUse&) const = default;
 };
 
 class Demand {
  public:
   // A caller of this host asks for `tokens`, whatever comes of it.
-  void Asked(NameHash workspace, int rank, double tokens, absl::Time now);
+  void RecordRequest(NameHash workspace, int rank, double tokens,
+                     absl::Time now);
   // How much of a workspace's limit requests of `rank` have to leave, as a part
   // of 1: the part of what callers of this host ask for that is more urgent,
   // and less in proportion where requests of this rank are smaller in the mean.
   // Small ones take little from the urgent, and hundreds of them would be
   // refused for one large. The same for all of a rank: by its own size, the
   // largest of a kind would be refused twice as often as the others.
-  double PartAbove(NameHash workspace, int rank, absl::Time now) const;
+  double HigherPriorityShare(NameHash workspace, int rank,
+                             absl::Time now) const;
   // They were let through.
-  void LetThrough(NameHash workspace, double tokens);
+  void RecordAdmitted(NameHash workspace, double tokens);
   // Of these, what was not sent to any server after all.
-  void GivenBack(NameHash workspace, double tokens);
+  void RecordRefund(NameHash workspace, double tokens);
 
   // So many hosts are known, this one included, heard or not. Until all are
   // heard, one that was just started must not take what may be others' parts.
-  void Know(int hosts) { hosts_ = std::max(hosts_, hosts); }
+  void RaiseHostCount(int hosts) { hosts_ = std::max(hosts_, hosts); }
   // What all other hosts do, as the zone's aggregator tells.
-  std::vector<Spent> Heard(const FleetNews& others, absl::Time now);
+  std::vector<PeerUse> OnPeerUpdate(const FleetNews& others, absl::Time now);
 
   // This host's own, to be told to others each period.
-  std::vector<WorkspaceUse> Tell(absl::Time now);
+  std::vector<WorkspaceUse> BuildUpdate(absl::Time now);
 
   // Notes this host's parts of the limits of `limited` while all hosts are
   // heard; to be called several times a second.
-  void Agree(const std::vector<NameHash>& limited, absl::Time now);
+  void UpdateShares(const std::vector<NameHash>& limited, absl::Time now);
 
   // The part of the limit that the hosts which are heard have together, this
   // one included; 1 when all are heard.
-  double Part(NameHash workspace, absl::Time now) const;
+  double LimitShare(NameHash workspace, absl::Time now) const;
 
   // What callers ask the others for that are heard; nothing while none is.
-  OthersDemand Others(NameHash workspace, absl::Time now) const;
+  PeerDemand DemandOfPeers(NameHash workspace, absl::Time now) const;
 
   // All hosts, this one included, when they were last heard together, or are
   // known.
   int hosts() const { return hosts_; }
   // Whether all of them were heard lately.
-  bool AllHeard(absl::Time now) const;
+  bool AllHostsReachable(absl::Time now) const;
 
  private:
-  struct Own {
+  struct LocalUse {
     // The memory of what callers ask for: long against the gaps between large
     // requests, short against the seconds over which limits are checked.
-    static constexpr absl::Duration kMemory = absl::Seconds(3);
+    static constexpr absl::Duration kDemandWindow = absl::Seconds(3);
 
-    DecayingSum asked{kMemory};  // Tokens.
-    struct OfRank {
-      DecayingSum tokens{kMemory};
-      DecayingSum requests{kMemory};
+    DecayingSum asked{kDemandWindow};  // Tokens.
+    struct RankDemand {
+      DecayingSum tokens{kDemandWindow};
+      DecayingSum requests{kDemandWindow};
     };
-    std::map<int, OfRank> by_rank;
+    std::map<int, RankDemand> by_rank;
     std::uint64_t let_through = 0;
     std::uint64_t given_back = 0;
     double unheard = 0;  // Let through since the others were heard.
-    double PerSecond(absl::Time now) const;
+    double TokensPerSecond(absl::Time now) const;
     // PerSecond() as told before, the oldest first. What the others told is as
     // old when it comes here. Were a host to set what it knows of itself now
     // against it, each would take too large a part when callers press at once.
-    std::array<double, 4> told{};
+    std::array<double, 4> published{};
   };
 
   // Whether what the others told last still holds.
-  bool IsHeard(absl::Time now) const;
-  absl::Duration Period() const {
-    return absl::Milliseconds(others_.period_ms);
+  bool IsLastUpdateCurrent(absl::Time now) const;
+  absl::Duration UpdatePeriod() const {
+    return absl::Milliseconds(last_update_.period_ms);
   }
   // Null when they have told nothing of it.
-  const WorkspaceUse* OthersUse(NameHash workspace) const;
+  const WorkspaceUse* FindPeerUse(NameHash workspace) const;
   // This host's own part.
-  double OwnPart(NameHash workspace) const;
-  double PartOfDemand(NameHash workspace) const;
+  double LocalShare(NameHash workspace) const;
+  double ShareOfDemand(NameHash workspace) const;
 
-  std::map<NameHash, struct Own> own_;
-  FleetNews others_;
-  absl::Time heard_ = absl::InfinitePast();
+  std::map<NameHash, struct LocalUse> own_;
+  FleetNews last_update_;
+  absl::Time last_update_at_ = absl::InfinitePast();
   UseCounters counters_;
   int hosts_ = 1;
-  absl::flat_hash_map<NameHash, double> agreed_;  // Own parts.
+  absl::flat_hash_map<NameHash, double> shares_;  // Own parts.
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/demand_test.cc
+++ b/src/gateway/demand_test.cc
@@ -34,27 +34,29 @@
     demand = Demand();
     quotas = Quotas(kTolerance);
     quotas.Configure({workspace}, now);
-    demand.Know(hosts);
+    demand.RaiseHostCount(hosts);
   }
 
   void Take(const FleetNews& others, absl::Time now) {
-    for (const Spent& spent : demand.Heard(others, now)) {
-      quotas.Spend(spent.workspace, spent.tokens, now);
+    for (const PeerUse& spent : demand.OnPeerUpdate(others, now)) {
+      quotas.Charge(spent.workspace, spent.tokens, now);
     }
     Tick(now);
   }
 
   void Tick(absl::Time now) {
-    demand.Agree({workspace_name}, now);
-    quotas.SetPart(workspace_name, demand.Part(workspace_name, now), now);
-    quotas.SetOthers(workspace_name, demand.Others(workspace_name, now), now);
+    demand.UpdateShares({workspace_name}, now);
+    quotas.SetShare(workspace_name, demand.LimitShare(workspace_name, now),
+                    now);
+    quotas.SetPeerDemand(workspace_name,
+                         demand.DemandOfPeers(workspace_name, now), now);
   }
 
   // None when it is let through, else when its caller may come back.
   std::optional<absl::Duration> Request(double tokens, absl::Time now) {
-    demand.Asked(workspace_name, /*rank=*/0, tokens, now);
+    demand.RecordRequest(workspace_name, /*rank=*/0, tokens, now);
     const auto wait = quotas.Take(workspace_name, tokens, /*kept=*/0, now);
-    if (!wait) demand.LetThrough(workspace_name, tokens);
+    if (!wait) demand.RecordAdmitted(workspace_name, tokens);
     return wait;
   }
 
@@ -112,7 +114,7 @@
       FakeHost* fake = &fakes_[name];
       fake->Start(Limited(rate_, rate_), hosts_, fleet_.now);
       host.compose = [this, fake](FleetNews* own) {
-        own->workspaces = fake->demand.Tell(fleet_.now);
+        own->workspaces = fake->demand.BuildUpdate(fleet_.now);
       };
       host.on_others = [this, fake](const FleetNews& others) {
         fake->Take(others, fleet_.now);
@@ -405,8 +407,9 @@
   int cheap_served = 0;
   int urgent_asked = 0;
   const auto ask = [&](int rank) {
-    demand.Asked(workspace_name, rank, kTokens, now);
-    const double kept = 0.5 * demand.PartAbove(workspace_name, rank, now);
+    demand.RecordRequest(workspace_name, rank, kTokens, now);
+    const double kept =
+        0.5 * demand.HigherPriorityShare(workspace_name, rank, now);
     return !quotas.Take(workspace_name, kTokens, kept, now).has_value();
   };
   for (int i = 0; i < 2000; ++i) {
@@ -427,12 +430,13 @@
 // large as the urgent one leaves them all that they ask for.
 BOOST_AUTO_TEST_CASE(SmallRequestsLeaveLittleOfTheLimit) {
   Demand demand;
-  for (int i = 0; i < 100; ++i) demand.Asked(workspace_name, 0, 4000, start);
-  demand.Asked(workspace_name, 2, 100, start);
-  demand.Asked(workspace_name, 3, 4000, start);
-  BOOST_TEST(demand.PartAbove(workspace_name, 2, start) < 0.03);
-  BOOST_TEST(demand.PartAbove(workspace_name, 3, start) > 0.9);
-  BOOST_TEST(demand.PartAbove(workspace_name, 0, start) == 0);
+  for (int i = 0; i < 100; ++i)
+    demand.RecordRequest(workspace_name, 0, 4000, start);
+  demand.RecordRequest(workspace_name, 2, 100, start);
+  demand.RecordRequest(workspace_name, 3, 4000, start);
+  BOOST_TEST(demand.HigherPriorityShare(workspace_name, 2, start) < 0.03);
+  BOOST_TEST(demand.HigherPriorityShare(workspace_name, 3, start) > 0.9);
+  BOOST_TEST(demand.HigherPriorityShare(workspace_name, 0, start) == 0);
 }
 
 // Of a less urgent kind some requests are ten times as large as others. Were
@@ -450,8 +454,9 @@
     for (const int rank : {0, 1}) {
       const bool large = i % 10 == 0;
       const double tokens = rank == 0 ? 4000 : large ? 8000 : 800;
-      demand.Asked(workspace_name, rank, tokens, now);
-      const double kept = 0.5 * demand.PartAbove(workspace_name, rank, now);
+      demand.RecordRequest(workspace_name, rank, tokens, now);
+      const double kept =
+          0.5 * demand.HigherPriorityShare(workspace_name, rank, now);
       const bool refused =
           quotas.Take(workspace_name, tokens, kept, now).has_value();
       if (rank == 0) continue;
@@ -474,19 +479,19 @@
   news.incarnation = 5;
   news.sequence = 1;
   news.workspaces = {{workspace_name, 0, 1000, 0}};
-  demand.Heard(news, start);
+  demand.OnPeerUpdate(news, start);
   news.sequence = 2;
   news.workspaces = {{workspace_name, 0, 1500, 200}};
-  BOOST_TEST(demand.Heard(news, start).front().tokens == 300);
+  BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == 300);
   news.sequence = 3;
   news.workspaces = {{workspace_name, 0, 1500, 500}};
-  BOOST_TEST(demand.Heard(news, start).front().tokens == -300);
+  BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == -300);
 
   Quotas quotas(0);
   quotas.Configure({Limited(1000, 1000)}, start);
   BOOST_TEST(!quotas.Take(workspace_name, 5000, 0, start).has_value());
   BOOST_TEST(quotas.Take(workspace_name, 100, 0, start).has_value());
-  quotas.GiveBack(workspace_name, 5000, start);
+  quotas.Refund(workspace_name, 5000, start);
   BOOST_TEST(!quotas.Take(workspace_name, 100, 0, start).has_value());
 }
 
@@ -494,17 +499,17 @@
 // hosts are heard, telling of the others would only make messages long.
 BOOST_AUTO_TEST_CASE(QuietHostsTellOfNoLimits) {
   Demand demand;
-  demand.Know(2);
-  demand.Agree({workspace_name}, start);
-  BOOST_TEST(demand.Tell(start).front().part == 0.5F);
+  demand.RaiseHostCount(2);
+  demand.UpdateShares({workspace_name}, start);
+  BOOST_TEST(demand.BuildUpdate(start).front().part == 0.5F);
   FleetNews news;
   news.sender.host = "h";
   news.period_ms = 100;
-  demand.Heard(news, start);
-  demand.Agree({workspace_name}, start);
-  BOOST_TEST(demand.Tell(start).empty());
-  demand.Asked(workspace_name, /*rank=*/0, 100, start);
-  BOOST_TEST(demand.Tell(start).size() == 1);
+  demand.OnPeerUpdate(news, start);
+  demand.UpdateShares({workspace_name}, start);
+  BOOST_TEST(demand.BuildUpdate(start).empty());
+  demand.RecordRequest(workspace_name, /*rank=*/0, 100, start);
+  BOOST_TEST(demand.BuildUpdate(start).size() == 1);
 }
 
 // A host that is heard for the first time has let through much before; that is
@@ -517,15 +522,15 @@
   news.incarnation = 5;
   news.sequence = 1;
   news.workspaces = {{workspace_name, 0, 1000}};
-  BOOST_TEST(demand.Heard(news, start).empty());
+  BOOST_TEST(demand.OnPeerUpdate(news, start).empty());
   news.sequence = 2;
   news.workspaces = {{workspace_name, 0, 1300}};
-  BOOST_TEST(demand.Heard(news, start).front().tokens == 300);
-  BOOST_TEST(demand.Heard(news, start).empty());
+  BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == 300);
+  BOOST_TEST(demand.OnPeerUpdate(news, start).empty());
   news.incarnation = 6;
   news.sequence = 1;
   news.workspaces = {{workspace_name, 0, 40}};
-  BOOST_TEST(demand.Heard(news, start).front().tokens == 40);
+  BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == 40);
 }
 
 }  // namespace
--- a/src/gateway/directory.cc
+++ b/src/gateway/directory.cc
@@ -6,14 +6,14 @@
 
 namespace gentianlb::gateway {
 
-bool Directory::Change(const std::string& key,
+bool Directory::Update(const std::string& key,
                        const std::optional<ServerEntry>& entry,
                        absl::Time now) {
   if (!entry) return Remove(key, now);
-  Known& known = entries_[key];
-  known.removed_at = absl::InfiniteFuture();
-  if (known.entry == *entry) return false;
-  known.entry = *entry;
+  Registration& registration = entries_[key];
+  registration.removed_at = absl::InfiniteFuture();
+  if (registration.entry == *entry) return false;
+  registration.entry = *entry;
   return true;
 }
 
@@ -23,11 +23,11 @@
   bool changed = false;
   absl::flat_hash_set<std::string> listed;
   for (const auto& [key, entry] : entries) {
-    changed |= Change(key, entry, now);
+    changed |= Update(key, entry, now);
     listed.insert(key);
   }
   std::vector<std::string> missing;
-  for (const auto& [key, known] : entries_) {
+  for (const auto& [key, registration] : entries_) {
     if (!listed.contains(key)) missing.push_back(key);
   }
   for (const std::string& key : missing) changed |= Remove(key, now);
@@ -37,9 +37,10 @@
 bool Directory::Remove(const std::string& key, absl::Time now) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) return false;
-  if (now < returned_ + kReturnTime) {
-    Known& known = found->second;
-    known.removed_at = std::min(known.removed_at, returned_ + kReturnTime);
+  if (now < recovered_at_ + kReregistrationTime) {
+    Registration& registration = found->second;
+    registration.removed_at =
+        std::min(registration.removed_at, recovered_at_ + kReregistrationTime);
     return false;
   }
   entries_.erase(found);
@@ -54,16 +55,17 @@
 
 absl::Time Directory::NextExpiry() const {
   absl::Time next = absl::InfiniteFuture();
-  for (const auto& [key, known] : entries_) {
-    next = std::min(next, known.removed_at);
+  for (const auto& [key, registration] : entries_) {
+    next = std::min(next, registration.removed_at);
   }
   return next;
 }
 
 std::vector<ServerEntry> Directory::ServersOf(const ServiceId& service) const {
   std::vector<ServerEntry> servers;
-  for (const auto& [key, known] : entries_) {
-    if (known.entry.service == service) servers.push_back(known.entry);
+  for (const auto& [key, registration] : entries_) {
+    if (registration.entry.service == service)
+      servers.push_back(registration.entry);
   }
   // The table has no order; decisions must not depend on its hashing.
   std::sort(
@@ -74,8 +76,8 @@
 
 std::vector<ServiceId> Directory::Services() const {
   std::vector<ServiceId> services;
-  for (const auto& [key, known] : entries_) {
-    services.push_back(known.entry.service);
+  for (const auto& [key, registration] : entries_) {
+    services.push_back(registration.entry.service);
   }
   std::sort(services.begin(), services.end());
   services.erase(std::unique(services.begin(), services.end()), services.end());
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -23,13 +23,13 @@
 
 // Servers that live and reach the table service are registered again within
 // about two seconds of its return, by the platform's promise.
-inline constexpr absl::Duration kReturnTime = absl::Seconds(2);
+inline constexpr absl::Duration kReregistrationTime = absl::Seconds(2);
 
 class Directory {
  public:
   // A registration under `key`; none when it was removed or names no server.
   // True when the servers that may be used have changed.
-  bool Change(const std::string& key, const std::optional<ServerEntry>& entry,
+  bool Update(const std::string& key, const std::optional<ServerEntry>& entry,
               absl::Time now);
 
   // The whole list: what it leaves out was removed.
@@ -37,7 +37,9 @@
                absl::Time now);
 
   // The table service answers again after an outage.
-  void ServiceReturned(absl::Time at) { returned_ = std::max(returned_, at); }
+  void OnTableRecovered(absl::Time at) {
+    recovered_at_ = std::max(recovered_at_, at);
+  }
 
   // Removes what has waited long enough; true when anything was.
   bool Expire(absl::Time now);
@@ -49,15 +51,15 @@
   std::size_t size() const { return entries_.size(); }
 
  private:
-  struct Known {
+  struct Registration {
     ServerEntry entry;
     absl::Time removed_at = absl::InfiniteFuture();
   };
 
   bool Remove(const std::string& key, absl::Time now);
 
-  absl::flat_hash_map<std::string, Known> entries_;
-  absl::Time returned_ = absl::InfinitePast();
+  absl::flat_hash_map<std::string, Registration> entries_;
+  absl::Time recovered_at_ = absl::InfinitePast();
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/directory_test.cc
+++ b/src/gateway/directory_test.cc
@@ -16,11 +16,11 @@
 
 BOOST_AUTO_TEST_CASE(OnlyWhatDiffersIsAChange) {
   Directory directory;
-  BOOST_TEST(directory.Change("a", Entry("a"), start));
-  BOOST_TEST(!directory.Change("a", Entry("a"), start));
+  BOOST_TEST(directory.Update("a", Entry("a"), start));
+  BOOST_TEST(!directory.Update("a", Entry("a"), start));
   ServerEntry draining = Entry("a");
   draining.draining = true;
-  BOOST_TEST(directory.Change("a", draining, start));
+  BOOST_TEST(directory.Update("a", draining, start));
   BOOST_TEST(directory.ServersOf(ServiceId("s")).size() == 1u);
   BOOST_TEST(directory.ServersOf(ServiceId("t")).empty());
 }
@@ -29,9 +29,9 @@
 // registration stood. That entry names no server any more; the others hold.
 BOOST_AUTO_TEST_CASE(AnUnreadableEntryNamesNoServer) {
   Directory directory;
-  directory.Change("a", Entry("a"), start);
-  directory.Change("b", Entry("b"), start);
-  BOOST_TEST(directory.Change("a", std::nullopt, start));
+  directory.Update("a", Entry("a"), start);
+  directory.Update("b", Entry("b"), start);
+  BOOST_TEST(directory.Update("a", std::nullopt, start));
   BOOST_TEST(directory.size() == 1u);
 }
 
@@ -40,25 +40,26 @@
 // registered again within two seconds; a caller in between must be served.
 BOOST_AUTO_TEST_CASE(RemovalsJustAfterAnOutageWait) {
   Directory directory;
-  directory.Change("a", Entry("a"), start);
-  directory.Change("b", Entry("b"), start);
-  directory.ServiceReturned(start);
+  directory.Update("a", Entry("a"), start);
+  directory.Update("b", Entry("b"), start);
+  directory.OnTableRecovered(start);
   const absl::Time soon = start + absl::Milliseconds(300);
-  BOOST_TEST(!directory.Change("a", std::nullopt, soon));
-  BOOST_TEST(!directory.Change("b", std::nullopt, soon));
+  BOOST_TEST(!directory.Update("a", std::nullopt, soon));
+  BOOST_TEST(!directory.Update("b", std::nullopt, soon));
   BOOST_TEST(directory.size() == 2u);
   // One of them is back; the other is gone for good.
-  BOOST_TEST(!directory.Change("b", Entry("b"), soon));
-  BOOST_TEST((directory.NextExpiry() == start + kReturnTime));
-  BOOST_TEST(!directory.Expire(start + kReturnTime - absl::Milliseconds(1)));
-  BOOST_TEST(directory.Expire(start + kReturnTime));
+  BOOST_TEST(!directory.Update("b", Entry("b"), soon));
+  BOOST_TEST((directory.NextExpiry() == start + kReregistrationTime));
+  BOOST_TEST(
+      !directory.Expire(start + kReregistrationTime - absl::Milliseconds(1)));
+  BOOST_TEST(directory.Expire(start + kReregistrationTime));
   BOOST_TEST(directory.ServersOf(ServiceId("s")).front().id.str() == "b");
   BOOST_TEST((directory.NextExpiry() == absl::InfiniteFuture()));
 }
 
 BOOST_AUTO_TEST_CASE(AWholeListRemovesWhatItLeavesOut) {
   Directory directory;
-  directory.Change("a", Entry("a"), start);
+  directory.Update("a", Entry("a"), start);
   BOOST_TEST(directory.Replace({{"b", Entry("b")}}, start));
   BOOST_TEST(directory.size() == 1u);
   BOOST_TEST(!directory.Replace({{"b", Entry("b")}}, start));
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -23,23 +23,23 @@
   std::string Feed(std::string_view bytes);
 
   // Forgets a half event: another server goes on after the last whole one.
-  void Restart() { rest_.clear(); }
+  void DiscardPartial() { partial_.clear(); }
 
   // What is left after the last whole event, once the stream has ended.
-  const std::string& rest() const { return rest_; }
+  const std::string& partial() const { return partial_; }
 
   // The highest number seen.
   std::int64_t last_event() const { return last_event_; }
   // Whole events passed on.
-  int events() const { return events_; }
+  int event_count() const { return event_count_; }
 
  private:
   // Whether the event is new; notes its number.
-  bool Take(std::string_view event);
+  bool RecordIfNew(std::string_view event);
 
-  std::string rest_;
+  std::string partial_;
   std::int64_t last_event_;
-  int events_ = 0;
+  int event_count_ = 0;
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/event_splitter_test.cc
+++ b/src/gateway/event_splitter_test.cc
@@ -12,8 +12,8 @@
   BOOST_TEST(splitter.Feed("ta: b\n") == "");
   BOOST_TEST(splitter.Feed("\n") == "id: 2\ndata: b\n\n");
   BOOST_TEST(splitter.last_event() == 2);
-  BOOST_TEST(splitter.events() == 2);
-  BOOST_TEST(splitter.rest().empty());
+  BOOST_TEST(splitter.event_count() == 2);
+  BOOST_TEST(splitter.partial().empty());
 }
 
 // A server dies in the middle of its third event and another one goes on after
@@ -23,7 +23,7 @@
   EventSplitter splitter(0);
   splitter.Feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c");
   BOOST_TEST(splitter.last_event() == 2);
-  splitter.Restart();
+  splitter.DiscardPartial();
   BOOST_TEST(splitter.Feed("id: 3\ndata: cc\n\n") == "id: 3\ndata: cc\n\n");
 }
 
@@ -33,7 +33,7 @@
   EventSplitter splitter(2);
   BOOST_TEST(splitter.Feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\n\n") ==
              "id: 3\n\n");
-  BOOST_TEST(splitter.events() == 1);
+  BOOST_TEST(splitter.event_count() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(EventsWithoutANumberPass) {
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -25,9 +25,9 @@
   RequestId dispatch_id;  // What the dispatcher calls it; empty: none is open.
   std::optional<ServerEntry> server;  // Once granted.
   http::TransferId transfer = 0;      // While it is under way.
-  AnswerHead head;
-  bool head_seen = false;
-  bool first_event_told = false;  // To the dispatcher.
+  ResponseHead head;
+  bool head_received = false;
+  bool first_event_reported = false;  // To the dispatcher.
 };
 
 struct Exchange {
@@ -46,16 +46,16 @@
   absl::Time deadline;  // The caller's or the route's, whichever is sooner.
   TimerId deadline_timer = 0;
 
-  double tokens_taken = 0;  // Of its workspace's limit, until it is sent.
+  double quota_tokens = 0;  // Of its workspace's limit, until it is sent.
 
   Attempt attempt;
-  int sendings = 0;           // Sent to a server, whatever came of it.
-  int sheds = 0;              // Of them, certainly not run.
+  int attempts = 0;           // Sent to a server, whatever came of it.
+  int shed_attempts = 0;      // Of them, certainly not run.
   bool may_have_run = false;  // One of the earlier ones.
 
   std::string body;  // Of a plain answer, until it is whole.
-  EventSplitter events{0};
-  bool answering = false;  // The caller has got the head of the answer.
+  EventSplitter splitter{0};
+  bool response_started = false;  // The caller has got the head of the answer.
   absl::Time first_event = absl::InfinitePast();
 
   // 0 for a plain call.
@@ -66,7 +66,7 @@
   bool is_stream() const { return route->kind == RouteKind::kStream; }
 
   // Whether it may be sent again although the last sending may have run.
-  bool repeatable() const {
+  bool safe_to_retry() const {
     return route->kind == RouteKind::kIdempotent ||
            (is_stream() && route->resumable);
   }
--- a/src/gateway/fake_site_test.h
+++ b/src/gateway/fake_site_test.h
@@ -56,7 +56,7 @@
   std::string server() const { return call.server.id.str(); }
 
   void Head(int status, bool not_run = false) {
-    AnswerHead head;
+    ResponseHead head;
     head.status = status;
     head.signed_ = true;
     head.not_run = not_run;
@@ -147,10 +147,10 @@
     entry.service = ServiceId(service);
     entry.address = {"10.0.0.1", 80};
     entry.streams = streams;
-    directory.Change(id, entry, now);
+    directory.Update(id, entry, now);
   }
 
-  std::shared_ptr<FakeCaller> Ask(const std::string& path,
+  std::shared_ptr<FakeCaller> SendRequest(const std::string& path,
                                   const std::string& key = "key") {
     auto caller = std::make_shared<FakeCaller>();
     CallerRequest request;
@@ -169,7 +169,7 @@
     return caller;
   }
 
-  void Pass(absl::Duration span) {
+  void AdvanceTime(absl::Duration span) {
     now += span;
     timers.Advance(now);
   }
--- a/src/gateway/fleet_test.cc
+++ b/src/gateway/fleet_test.cc
@@ -89,9 +89,9 @@
       own->workspaces = {{kWorkspace, 1, let_through[name]}};
     };
     host.on_others = [&, name](const FleetNews& others) {
-      for (const UseGrowth& grown :
-           counters[name].Take(others.incarnation, others.workspaces)) {
-        heard[name] += grown.let_through;
+      for (const UseDelta& grown :
+           counters[name].Update(others.incarnation, others.workspaces)) {
+        heard[name] += grown.admitted;
       }
     };
   }
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "gateway/forwarding.h"
+#include "gateway/forwarder_internal.h"
 
 namespace gentianlb::gateway {
 namespace {
@@ -15,14 +15,14 @@
 
 // The part of the objective by which the first event is asked of a server; the
 // rest is for the way back and for what predictions miss.
-constexpr double kObjectivePart = 0.9;
+constexpr double kServerObjectiveShare = 0.9;
 
 // Of what a workspace may use at once, the part that is kept for more urgent
 // requests when all that it asks for is more urgent; else in proportion. A
 // limit has no order of its own: under it cheap and long kinds would be let in
 // as they come while urgent ones are refused. Half is more than a second of a
 // workspace's usual use.
-constexpr double kKeptForUrgent = 0.5;
+constexpr double kReservedForHigherPriority = 0.5;
 
 }  // namespace
 
@@ -40,8 +40,8 @@
       quotas_(options_.limit_tolerance_tokens),
       // Names of one start differ from those of the start before, which
       // dispatchers on other hosts may still know.
-      next_dispatch_(static_cast<std::uint64_t>(absl::ToUnixMicros(clock_()))) {
-}
+      next_dispatch_id_(
+          static_cast<std::uint64_t>(absl::ToUnixMicros(clock_()))) {}
 
 Forwarder::~Forwarder() {
   for (auto& [id, exchange] : exchanges_) {
@@ -65,10 +65,10 @@
             << " routes=" << configuration.routes.size();
   index_ = std::make_shared<const RouteIndex>(std::move(configuration));
   quotas_.Configure(index_->configuration().workspaces, clock_());
-  ServersChanged();
+  OnServersChanged();
 }
 
-void Forwarder::ServersChanged() {
+void Forwarder::OnServersChanged() {
   if (index_ == nullptr) return;
   for (const Service& service : index_->configuration().services) {
     ServiceQueue& queue = QueueOf(service.id);
@@ -76,7 +76,7 @@
     std::vector<schedule::Decision> decisions;
     queue.SetServers(service, directory_->ServersOf(service.id),
                      demand_->hosts(), clock_(), &decisions);
-    CarryOut(decisions);
+    ApplyDecisions(decisions);
     ArmWakeup(service.id, queue);
     if (groups_ != nullptr) {
       groups_->SetServers(service, directory_->ServersOf(service.id));
@@ -105,7 +105,7 @@
   exchange.index = index_;
   exchange.request = std::make_shared<const CallerRequest>(std::move(request));
   exchange.responder = std::move(responder);
-  exchange.events = EventSplitter(exchange.request->last_event);
+  exchange.splitter = EventSplitter(exchange.request->last_event);
   if (index_ != nullptr) {
     exchange.route =
         index_->FindRoute(exchange.request->host, exchange.request->path);
@@ -113,7 +113,7 @@
   }
   exchanges_.emplace(id, std::move(owned));
   if (const auto error = Check(exchange)) {
-    return Refuse(exchange, *error, kComeBackSoon);
+    return Refuse(exchange, *error, kShortRetryAfter);
   }
   exchange.tier = TierOf(*exchange.route, exchange.workspace);
   const absl::Duration time_left =
@@ -128,19 +128,19 @@
   exchange.service = index_->FindService(service);
   if (exchange.service == nullptr) {
     return Refuse(exchange, {Code::kNoServer, "the service is not configured"},
-                  kComeBackSoon);
+                  kShortRetryAfter);
   }
   metrics_->CountAccepted(exchange.tier);
   QueueOf(service).retries().OnCall();
   exchange.deadline_timer =
       timers_->At(exchange.deadline, [this, id](absl::Time) {
-        if (Exchange* late = Find(id)) DeadlinePassed(*late);
+        if (Exchange* expired = Find(id)) OnDeadlinePassed(*expired);
       });
-  const auto answer = exchange.responder;
+  const auto kept_responder = exchange.responder;
   Enqueue(exchange, ServerId());
   // Last, since a caller that has left already is told of at once.
-  answer->OnGone([this, id] {
-    if (Exchange* left = Find(id)) CallerGone(*left);
+  kept_responder->OnGone([this, id] {
+    if (Exchange* disconnected = Find(id)) OnCallerDisconnected(*disconnected);
   });
 }
 
@@ -161,9 +161,9 @@
   if (exchange.route->services.empty()) {
     return Error{Code::kNoServer, "the route names no service"};
   }
-  const absl::Time until =
+  const absl::Time refused_from =
       exchange.is_stream() ? drain_.no_streams_from : drain_.no_requests_from;
-  if (clock_() >= until) {
+  if (clock_() >= refused_from) {
     return Error{Code::kDraining, "this host is about to stop"};
   }
   return std::nullopt;
@@ -175,89 +175,93 @@
   const int tokens = prompt ? prompt->prompt_tokens + prompt->max_output_tokens
                             : exchange.workspace->quota.tokens_without_count;
   const NameHash workspace = HashName(exchange.workspace->id.str());
-  demand_->Asked(workspace, exchange.tier.rank, tokens, clock_());
-  const double kept =
-      kKeptForUrgent *
-      demand_->PartAbove(workspace, exchange.tier.rank, clock_());
-  const auto wait = quotas_.Take(workspace, tokens, kept, clock_());
+  demand_->RecordRequest(workspace, exchange.tier.rank, tokens, clock_());
+  const double reserved_share =
+      kReservedForHigherPriority *
+      demand_->HigherPriorityShare(workspace, exchange.tier.rank, clock_());
+  const auto wait = quotas_.Take(workspace, tokens, reserved_share, clock_());
   if (!wait) {
-    demand_->LetThrough(workspace, tokens);
-    exchange.tokens_taken = tokens;
+    demand_->RecordAdmitted(workspace, tokens);
+    exchange.quota_tokens = tokens;
   }
   return wait;
 }
 
-void Forwarder::GiveBackQuota(Exchange& exchange) {
-  if (exchange.tokens_taken <= 0) return;
+void Forwarder::RefundQuota(Exchange& exchange) {
+  if (exchange.quota_tokens <= 0) return;
   const NameHash workspace = HashName(exchange.workspace->id.str());
-  quotas_.GiveBack(workspace, exchange.tokens_taken, clock_());
-  demand_->GivenBack(workspace, exchange.tokens_taken);
-  exchange.tokens_taken = 0;
+  quotas_.Refund(workspace, exchange.quota_tokens, clock_());
+  demand_->RecordRefund(workspace, exchange.quota_tokens);
+  exchange.quota_tokens = 0;
 }
 
-schedule::Request Forwarder::Describe(const Exchange& exchange,
-                                      const ServerId& avoid) const {
-  schedule::Request described;
-  described.id = exchange.attempt.dispatch_id;
-  described.host = options_.host;
+schedule::Request Forwarder::MakeDispatchRequest(const Exchange& exchange,
+                                                 const ServerId& avoid) const {
+  schedule::Request dispatch_request;
+  dispatch_request.id = exchange.attempt.dispatch_id;
+  dispatch_request.host = options_.host;
   if (exchange.workspace != nullptr) {
-    described.workspace = exchange.workspace->id;
+    dispatch_request.workspace = exchange.workspace->id;
   }
-  described.tier = exchange.tier;
-  described.arrival = exchange.arrival;
-  described.deadline = exchange.deadline;
-  described.body_bytes =
+  dispatch_request.tier = exchange.tier;
+  dispatch_request.arrival = exchange.arrival;
+  dispatch_request.deadline = exchange.deadline;
+  dispatch_request.body_bytes =
       static_cast<std::int64_t>(exchange.request->body.size());
-  described.avoid = avoid;
+  dispatch_request.avoid = avoid;
   // Once it is missed, or the first event is out, only the deadline counts.
   const absl::Time due =
-      exchange.arrival + kObjectivePart * exchange.route->objective;
-  if (!exchange.answering && due > clock_()) described.first_token_due = due;
+      exchange.arrival + kServerObjectiveShare * exchange.route->objective;
+  if (!exchange.response_started && due > clock_())
+    dispatch_request.first_token_due = due;
   const auto& prompt = exchange.request->prompt;
-  if (!exchange.service->engine || !prompt) return described;
-  described.model = prompt->model;
-  described.prompt_tokens = prompt->prompt_tokens;
-  described.max_output_tokens = prompt->max_output_tokens;
-  described.expected_output_tokens = prompt->expected_output_tokens;
-  described.parts = prompt->parts;
-  return described;
+  if (!exchange.service->engine || !prompt) return dispatch_request;
+  dispatch_request.model = prompt->model;
+  dispatch_request.prompt_tokens = prompt->prompt_tokens;
+  dispatch_request.max_output_tokens = prompt->max_output_tokens;
+  dispatch_request.expected_output_tokens = prompt->expected_output_tokens;
+  dispatch_request.parts = prompt->parts;
+  return dispatch_request;
 }
 
 void Forwarder::Enqueue(Exchange& exchange, const ServerId& avoid) {
   exchange.attempt = {};
-  exchange.attempt.dispatch_id = RequestId(absl::StrCat(next_dispatch_++));
+  exchange.attempt.dispatch_id = RequestId(absl::StrCat(next_dispatch_id_++));
   exchange.body.clear();
-  exchange.events.Restart();
-  by_dispatch_[exchange.attempt.dispatch_id] = exchange.id;
-  schedule::Request described = Describe(exchange, avoid);
-  if (exchange.service->engine && described.model.empty()) {
-    described.model = QueueOf(exchange.service->id).default_model();
+  exchange.splitter.DiscardPartial();
+  exchange_by_dispatch_id_[exchange.attempt.dispatch_id] = exchange.id;
+  schedule::Request dispatch_request = MakeDispatchRequest(exchange, avoid);
+  if (exchange.service->engine && dispatch_request.model.empty()) {
+    dispatch_request.model = QueueOf(exchange.service->id).default_model();
   }
-  Tell(exchange.service->id, schedule::RequestArrived{std::move(described)});
+  NotifyDispatcher(exchange.service->id,
+                   schedule::RequestArrived{std::move(dispatch_request)});
 }
 
 // --- Decisions ---------------------------------------------------------------
 
-void Forwarder::Tell(const ServiceId& service, const schedule::Event& event) {
+void Forwarder::NotifyDispatcher(const ServiceId& service,
+                                 const schedule::Event& event) {
   if (groups_ != nullptr && groups_->Tell(service, event)) return;
-  TellOwn(service, event);
+  NotifyLocalDispatcher(service, event);
 }
 
-void Forwarder::Decide(const schedule::Decision& decision) {
-  std::visit([this](const auto& one) { On(one); }, decision);
+void Forwarder::ApplyDecision(const schedule::Decision& decision) {
+  std::visit([this](const auto& one) { Apply(one); }, decision);
 }
 
-void Forwarder::TellOwn(const ServiceId& service,
-                        const schedule::Event& event) {
+void Forwarder::NotifyLocalDispatcher(const ServiceId& service,
+                                      const schedule::Event& event) {
   ServiceQueue& queue = QueueOf(service);
   std::vector<schedule::Decision> decisions;
   queue.Handle(event, clock_(), &decisions);
-  CarryOut(decisions);
+  ApplyDecisions(decisions);
   ArmWakeup(service, queue);
 }
 
-void Forwarder::CarryOut(const std::vector<schedule::Decision>& decisions) {
-  for (const schedule::Decision& decision : decisions) Decide(decision);
+void Forwarder::ApplyDecisions(
+    const std::vector<schedule::Decision>& decisions) {
+  for (const schedule::Decision& decision : decisions) ApplyDecision(decision);
 }
 
 void Forwarder::ArmWakeup(const ServiceId& service, ServiceQueue& queue) {
@@ -269,13 +273,13 @@
   if (next == absl::InfiniteFuture()) return;
   queue.wakeup = timers_->At(next, [this, service](absl::Time) {
     QueueOf(service).wakeup_at = absl::InfinitePast();
-    Tell(service, schedule::TimePassed{});
+    NotifyDispatcher(service, schedule::TimePassed{});
   });
 }
 
-void Forwarder::On(const schedule::Grant& grant) {
-  const auto found = by_dispatch_.find(grant.id);
-  if (found == by_dispatch_.end()) return;
+void Forwarder::Apply(const schedule::Grant& grant) {
+  const auto found = exchange_by_dispatch_id_.find(grant.id);
+  if (found == exchange_by_dispatch_id_.end()) return;
   Exchange* exchange = Find(found->second);
   if (exchange == nullptr) return;
   const ServerEntry* server =
@@ -283,27 +287,28 @@
   if (server == nullptr || server->draining) {
     // It left between the decision and now, or the dispatcher, on another host,
     // has not heard of it. A server that is about to stop would cut the answer.
-    return Tell(exchange->service->id,
-                schedule::RequestEnded{grant.id, EndKind::kNotSent, 0, 0});
+    return NotifyDispatcher(
+        exchange->service->id,
+        schedule::RequestEnded{grant.id, EndKind::kNotSent, 0, 0});
   }
   Send(*exchange, *server);
 }
 
-void Forwarder::On(const schedule::Refuse& refusal) {
-  const auto found = by_dispatch_.find(refusal.id);
-  if (found == by_dispatch_.end()) return;
+void Forwarder::Apply(const schedule::Refuse& refusal) {
+  const auto found = exchange_by_dispatch_id_.find(refusal.id);
+  if (found == exchange_by_dispatch_id_.end()) return;
   Exchange* exchange = Find(found->second);
-  by_dispatch_.erase(found);
+  exchange_by_dispatch_id_.erase(found);
   if (exchange == nullptr) return;
   exchange->attempt.dispatch_id = RequestId();
   Refuse(*exchange, {refusal.code, "by the dispatcher"}, refusal.retry_after);
 }
 
-void Forwarder::On(const schedule::Cancel& cancel) {
-  const auto found = by_dispatch_.find(cancel.id);
-  if (found == by_dispatch_.end()) return;
+void Forwarder::Apply(const schedule::Cancel& cancel) {
+  const auto found = exchange_by_dispatch_id_.find(cancel.id);
+  if (found == exchange_by_dispatch_id_.end()) return;
   if (Exchange* exchange = Find(found->second)) {
-    GiveUp(*exchange, {Code::kCancelledRunning, "by the dispatcher"});
+    FailRequest(*exchange, {Code::kCancelledRunning, "by the dispatcher"});
   }
 }
 
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -58,7 +58,7 @@
   void SetConfiguration(Configuration configuration);
 
   // The directory has changed.
-  void ServersChanged();
+  void OnServersChanged();
 
   void Accept(CallerRequest request,
               std::shared_ptr<http::Responder> responder);
@@ -73,17 +73,18 @@
 
   // From now on requests are ordered by the dispatchers of groups where these
   // answer; null: by this host's own.
-  void UseGroups(GroupLink* groups) { groups_ = groups; }
+  void SetGroupLink(GroupLink* groups) { groups_ = groups; }
   // Tells this host's own dispatcher of the service, and carries out what it
   // decides.
-  void TellOwn(const ServiceId& service, const schedule::Event& event);
+  void NotifyLocalDispatcher(const ServiceId& service,
+                             const schedule::Event& event);
   // Carries out what the dispatcher of a group has decided.
-  void Decide(const schedule::Decision& decision);
+  void ApplyDecision(const schedule::Decision& decision);
 
   // What this host has running on each server, and knows of its pace.
-  std::vector<ServerUse> Uses() const;
+  std::vector<ServerUse> ServerUses() const;
   // What all others have and know.
-  void UsedElsewhere(const absl::flat_hash_map<NameHash, ServerUse>& uses);
+  void SetPeerUses(const absl::flat_hash_map<NameHash, ServerUse>& uses);
 
   // Some configuration is in force.
   bool configured() const { return index_ != nullptr; }
@@ -96,52 +97,52 @@
   std::optional<Error> Check(const Exchange& exchange) const;
   std::optional<absl::Duration> TakeQuota(Exchange& exchange);
   // What was taken for a request that was not sent.
-  void GiveBackQuota(Exchange& exchange);
+  void RefundQuota(Exchange& exchange);
 
   // Hands the request to the dispatcher, again after a failed sending.
   void Enqueue(Exchange& exchange, const ServerId& avoid);
-  schedule::Request Describe(const Exchange& exchange,
-                             const ServerId& avoid) const;
+  schedule::Request MakeDispatchRequest(const Exchange& exchange,
+                                        const ServerId& avoid) const;
 
   // Tells the dispatchers that have to know.
-  void Tell(const ServiceId& service, const schedule::Event& event);
-  void CarryOut(const std::vector<schedule::Decision>& decisions);
-  void On(const schedule::Grant& grant);
-  void On(const schedule::Refuse& refusal);
-  void On(const schedule::Cancel& cancel);
+  void NotifyDispatcher(const ServiceId& service, const schedule::Event& event);
+  void ApplyDecisions(const std::vector<schedule::Decision>& decisions);
+  void Apply(const schedule::Grant& grant);
+  void Apply(const schedule::Refuse& refusal);
+  void Apply(const schedule::Cancel& cancel);
   void ArmWakeup(const ServiceId& service, ServiceQueue& queue);
 
   // One sending, in order.
   void Send(Exchange& exchange, const ServerEntry& server);
-  http::Reading TakeHead(Exchange& exchange, AnswerHead head);
-  void TakeBytes(Exchange& exchange, std::string_view bytes);
-  void TakeEnd(Exchange& exchange, http::TransferEnd end,
-               const std::string& detail);
+  http::Reading OnHead(Exchange& exchange, ResponseHead head);
+  void OnBytes(Exchange& exchange, std::string_view bytes);
+  void OnTransferEnd(Exchange& exchange, http::TransferEnd end,
+                     const std::string& detail);
 
   // How a sending may end.
-  void Complete(Exchange& exchange);
-  void Shed(Exchange& exchange);
-  void Failed(Exchange& exchange, const std::string& detail);
+  void OnResponseComplete(Exchange& exchange);
+  void OnAttemptShed(Exchange& exchange);
+  void OnAttemptFailed(Exchange& exchange, const std::string& detail);
   // True when it is sent to another server.
-  bool Resend(Exchange& exchange, std::string_view why);
+  bool Retry(Exchange& exchange, std::string_view reason);
   // The server has no more to do with the sending that was under way.
-  void EndTransfer(Exchange& exchange);
-  void EndAttempt(Exchange& exchange, schedule::EndKind kind);
+  void FinishTransfer(Exchange& exchange);
+  void FinishAttempt(Exchange& exchange, schedule::EndKind kind);
 
   // How a request may end.
-  void Answer(Exchange& exchange);
+  void FinishResponse(Exchange& exchange);
   void Refuse(Exchange& exchange, const Error& error,
               absl::Duration retry_after);
-  void GiveUp(Exchange& exchange, const Error& error);
-  void DeadlinePassed(Exchange& exchange);
-  void CallerGone(Exchange& exchange);
+  void FailRequest(Exchange& exchange, const Error& error);
+  void OnDeadlinePassed(Exchange& exchange);
+  void OnCallerDisconnected(Exchange& exchange);
   void Remove(ExchangeId id);
   // Stops what a server does for it and takes it out of the queue.
-  void Withdraw(Exchange& exchange);
+  void CancelAttempt(Exchange& exchange);
 
   void BeginStream(Exchange& exchange);
-  void TellProgress(Exchange& exchange);
-  std::vector<http::Header> AnswerHeaders(const AnswerHead& head) const;
+  void ReportProgress(Exchange& exchange);
+  std::vector<http::Header> ResponseHeaders(const ResponseHead& head) const;
   void RespondError(http::Responder& responder, const Error& error,
                     absl::Duration retry_after) const;
 
@@ -161,11 +162,11 @@
   Quotas quotas_;
   absl::node_hash_map<ServiceId, ServiceQueue> queues_;
   ExchangeId next_id_ = 1;
-  std::uint64_t next_dispatch_;
+  std::uint64_t next_dispatch_id_;
   absl::flat_hash_map<ExchangeId, std::unique_ptr<Exchange>> exchanges_;
-  absl::flat_hash_map<RequestId, ExchangeId> by_dispatch_;
+  absl::flat_hash_map<RequestId, ExchangeId> exchange_by_dispatch_id_;
   absl::flat_hash_map<ServerId, int> running_;
-  absl::flat_hash_map<ServerId, ServerUse> told_elsewhere_;
+  absl::flat_hash_map<ServerId, ServerUse> notified_peer_uses_;
   GroupLink* groups_ = nullptr;
   bool draining_ = false;
   DrainPlan drain_;
--- a/src/gateway/forwarder_sending.cc
+++ b/src/gateway/forwarder_attempt.cc
@@ -8,7 +8,7 @@
 
 #include "absl/strings/str_cat.h"
 #include "gateway/forwarder.h"
-#include "gateway/forwarding.h"
+#include "gateway/forwarder_internal.h"
 
 namespace gentianlb::gateway {
 namespace {
@@ -17,27 +17,27 @@
 
 // A server that had no room is one of many; a third that has none either says
 // that they are all full, and each try costs the servers something.
-constexpr int kMostSheds = 2;
+constexpr int kMaxShedAttempts = 2;
 
 // With less time left no other server can answer, as a round trip and its queue
 // take about that.
-constexpr absl::Duration kLeastTimeToResend = absl::Milliseconds(20);
+constexpr absl::Duration kMinTimeToRetry = absl::Milliseconds(20);
 
 // Progress is told to the dispatcher once in so many events: it learns the pace
 // of a server as well from a few samples, and each costs some microseconds.
-constexpr int kEventsPerProgress = 16;
+constexpr int kEventsPerProgressReport = 16;
 
 }  // namespace
 
 void Forwarder::Send(Exchange& exchange, const ServerEntry& server) {
   const absl::Time now = clock_();
-  ++exchange.sendings;
-  exchange.tokens_taken = 0;  // From now on they are used.
+  ++exchange.attempts;
+  exchange.quota_tokens = 0;  // From now on they are used.
   exchange.attempt.server = server;
   LOG(INFO) << "event=sent request=" << exchange.request->id
             << " server=" << server.id
             << " address=" << settings::Format(server.address)
-            << " zone=" << server.zone << " sending=" << exchange.sendings
+            << " zone=" << server.zone << " sending=" << exchange.attempts
             << " waited_ms=" << Milliseconds(now - exchange.arrival)
             << " left_ms=" << Milliseconds(exchange.deadline - now)
             << " version=" << exchange.index->configuration().version;
@@ -46,31 +46,32 @@
   call.server = server;
   if (exchange.workspace != nullptr) call.workspace = exchange.workspace->id;
   call.time_left = exchange.deadline - now;
-  call.last_event = exchange.events.last_event();
+  call.last_event = exchange.splitter.last_event();
   const ExchangeId id = exchange.id;
-  const int sending = exchange.sendings;
+  const int attempt_number = exchange.attempts;
   // What comes of a sending that was given up is of no use to the next one.
-  auto current = [this, id, sending]() -> Exchange* {
+  auto current = [this, id, attempt_number]() -> Exchange* {
     Exchange* found = Find(id);
-    return found != nullptr && found->sendings == sending ? found : nullptr;
+    return found != nullptr && found->attempts == attempt_number ? found
+                                                                 : nullptr;
   };
   CallSink sink;
-  sink.on_head = [this, current](AnswerHead head) {
+  sink.on_head = [this, current](ResponseHead head) {
     Exchange* found = current();
     return found == nullptr ? http::Reading::kStop
-                            : TakeHead(*found, std::move(head));
+                            : OnHead(*found, std::move(head));
   };
   sink.on_data = [this, current](std::string_view bytes) {
-    if (Exchange* found = current()) TakeBytes(*found, bytes);
+    if (Exchange* found = current()) OnBytes(*found, bytes);
   };
   sink.on_end = [this, current](http::TransferEnd end, std::string detail) {
-    if (Exchange* found = current()) TakeEnd(*found, end, detail);
+    if (Exchange* found = current()) OnTransferEnd(*found, end, detail);
   };
   exchange.attempt.transfer = servers_.send(std::move(call), std::move(sink));
   ++running_[server.id];
 }
 
-void Forwarder::EndTransfer(Exchange& exchange) {
+void Forwarder::FinishTransfer(Exchange& exchange) {
   if (exchange.attempt.transfer == 0) return;
   exchange.attempt.transfer = 0;
   const auto found = running_.find(exchange.attempt.server->id);
@@ -78,7 +79,7 @@
   if (--found->second <= 0) running_.erase(found);
 }
 
-std::vector<ServerUse> Forwarder::Uses() const {
+std::vector<ServerUse> Forwarder::ServerUses() const {
   std::vector<ServerUse> uses;
   if (index_ == nullptr) return uses;
   for (const auto& [service, queue] : queues_) {
@@ -103,177 +104,184 @@
   return uses;
 }
 
-void Forwarder::UsedElsewhere(
+void Forwarder::SetPeerUses(
     const absl::flat_hash_map<NameHash, ServerUse>& uses) {
   if (index_ == nullptr) return;
   for (const Service& service : index_->configuration().services) {
     for (const ServerEntry& server : directory_->ServersOf(service.id)) {
       const auto found = uses.find(HashName(server.id.str()));
       const ServerUse use = found == uses.end() ? ServerUse{} : found->second;
-      ServerUse& told = told_elsewhere_[server.id];
-      if (told.running != use.running) {
-        Tell(service.id, schedule::LoadElsewhere{server.id, use.running});
+      ServerUse& notified = notified_peer_uses_[server.id];
+      if (notified.running != use.running) {
+        NotifyDispatcher(service.id,
+                         schedule::LoadElsewhere{server.id, use.running});
       }
-      const bool paced = use.decode > 0 && service.engine;
-      if (paced && (told.decode != use.decode || told.prefill != use.prefill)) {
-        Tell(service.id,
-             schedule::PaceElsewhere{server.id, use.prefill, use.decode});
+      const bool has_speed = use.decode > 0 && service.engine;
+      if (has_speed &&
+          (notified.decode != use.decode || notified.prefill != use.prefill)) {
+        NotifyDispatcher(service.id, schedule::PaceElsewhere{
+                                         server.id, use.prefill, use.decode});
       }
-      told = use;
+      notified = use;
     }
   }
 }
 
-http::Reading Forwarder::TakeHead(Exchange& exchange, AnswerHead head) {
-  if (!head.is_own) {
+http::Reading Forwarder::OnHead(Exchange& exchange, ResponseHead head) {
+  if (!head.matches_request) {
     LOG(WARNING) << "event=foreign-answer request=" << exchange.request->id
                  << " server=" << exchange.attempt.server->id;
     return http::Reading::kStop;
   }
   const std::optional<ServerLoad> load = head.load;
-  exchange.attempt.head_seen = true;
+  exchange.attempt.head_received = true;
   exchange.attempt.head = std::move(head);
   if (!load) return http::Reading::kGoOn;
   // Carrying out what follows from it may end this request too.
   const ExchangeId id = exchange.id;
-  Tell(exchange.service->id,
-       schedule::LoadAnswered{exchange.attempt.server->id, load->running,
-                              load->waiting});
+  NotifyDispatcher(exchange.service->id,
+                   schedule::LoadAnswered{exchange.attempt.server->id,
+                                          load->running, load->waiting});
   return Find(id) == nullptr ? http::Reading::kStop : http::Reading::kGoOn;
 }
 
-void Forwarder::TakeBytes(Exchange& exchange, std::string_view bytes) {
-  const AnswerHead& head = exchange.attempt.head;
+void Forwarder::OnBytes(Exchange& exchange, std::string_view bytes) {
+  const ResponseHead& head = exchange.attempt.head;
   const bool relayed = exchange.is_stream() && IsSuccess(head.status);
   if (!relayed) {
     exchange.body.append(bytes);
     return;
   }
-  const std::string events = exchange.events.Feed(bytes);
+  const std::string events = exchange.splitter.Feed(bytes);
   if (events.empty()) return;
   BeginStream(exchange);
   exchange.responder->Write(events);
-  TellProgress(exchange);
+  ReportProgress(exchange);
 }
 
 void Forwarder::BeginStream(Exchange& exchange) {
-  if (exchange.answering) return;
-  exchange.answering = true;
+  if (exchange.response_started) return;
+  exchange.response_started = true;
   exchange.first_event = clock_();
   metrics_->ObserveFirstToken(exchange.tier,
                               exchange.first_event - exchange.arrival);
   exchange.responder->Begin(exchange.attempt.head.status,
-                            AnswerHeaders(exchange.attempt.head));
+                            ResponseHeaders(exchange.attempt.head));
 }
 
-void Forwarder::TellProgress(Exchange& exchange) {
+void Forwarder::ReportProgress(Exchange& exchange) {
   if (!exchange.service->engine) return;
-  const int events = exchange.events.events();
-  const bool first = !exchange.attempt.first_event_told;
-  if (!first && events % kEventsPerProgress != 0) return;
-  exchange.attempt.first_event_told = true;
+  const int events = exchange.splitter.event_count();
+  const bool first = !exchange.attempt.first_event_reported;
+  if (!first && events % kEventsPerProgressReport != 0) return;
+  exchange.attempt.first_event_reported = true;
   const int tokens = events * exchange.service->engine->tokens_per_event;
-  Tell(exchange.service->id,
-       schedule::TokensStreamed{exchange.attempt.dispatch_id, tokens});
+  NotifyDispatcher(
+      exchange.service->id,
+      schedule::TokensStreamed{exchange.attempt.dispatch_id, tokens});
 }
 
-void Forwarder::TakeEnd(Exchange& exchange, http::TransferEnd end,
-                        const std::string& detail) {
+void Forwarder::OnTransferEnd(Exchange& exchange, http::TransferEnd end,
+                              const std::string& detail) {
   Attempt& attempt = exchange.attempt;
-  EndTransfer(exchange);
+  FinishTransfer(exchange);
   if (end == http::TransferEnd::kNotSent) {
     LOG(WARNING) << "event=not-sent request=" << exchange.request->id
                  << " server=" << attempt.server->id << " cause=\"" << detail
                  << "\"";
-    --exchange.sendings;
-    return Tell(
+    --exchange.attempts;
+    return NotifyDispatcher(
         exchange.service->id,
         schedule::RequestEnded{attempt.dispatch_id, EndKind::kNotSent, 0, 0});
   }
-  if (attempt.head_seen && attempt.head.not_run) return Shed(exchange);
-  if (end != http::TransferEnd::kComplete) return Failed(exchange, detail);
+  if (attempt.head_received && attempt.head.not_run)
+    return OnAttemptShed(exchange);
+  if (end != http::TransferEnd::kComplete)
+    return OnAttemptFailed(exchange, detail);
   const bool failed = IsServerFailure(attempt.head.status);
-  if (failed && exchange.repeatable()) {
-    return Failed(exchange, absl::StrCat("status ", attempt.head.status));
+  if (failed && exchange.safe_to_retry()) {
+    return OnAttemptFailed(exchange,
+                           absl::StrCat("status ", attempt.head.status));
   }
-  Complete(exchange);
+  OnResponseComplete(exchange);
 }
 
-void Forwarder::EndAttempt(Exchange& exchange, EndKind kind) {
+void Forwarder::FinishAttempt(Exchange& exchange, EndKind kind) {
   const RequestId dispatch_id = exchange.attempt.dispatch_id;
   if (dispatch_id.empty()) return;
   exchange.attempt.dispatch_id = RequestId();
-  by_dispatch_.erase(dispatch_id);
+  exchange_by_dispatch_id_.erase(dispatch_id);
   int tokens = 0;
   if (exchange.service->engine) {
-    tokens =
-        exchange.events.events() * exchange.service->engine->tokens_per_event;
+    tokens = exchange.splitter.event_count() *
+             exchange.service->engine->tokens_per_event;
   }
-  Tell(exchange.service->id,
-       schedule::RequestEnded{dispatch_id, kind, tokens, 0});
+  NotifyDispatcher(exchange.service->id,
+                   schedule::RequestEnded{dispatch_id, kind, tokens, 0});
 }
 
-void Forwarder::Complete(Exchange& exchange) {
+void Forwarder::OnResponseComplete(Exchange& exchange) {
   // A server that fails quickly must not pass for a quick one.
   const bool failed = IsServerFailure(exchange.attempt.head.status);
-  EndAttempt(exchange, failed ? EndKind::kBroken : EndKind::kComplete);
-  Answer(exchange);
+  FinishAttempt(exchange, failed ? EndKind::kBroken : EndKind::kComplete);
+  FinishResponse(exchange);
 }
 
 // Certain: it was not run there.
-void Forwarder::Shed(Exchange& exchange) {
+void Forwarder::OnAttemptShed(Exchange& exchange) {
   const ServerId server = exchange.attempt.server->id;
   const bool wrong = exchange.attempt.head.wrong_server;
   LOG(INFO) << "event=shed request=" << exchange.request->id
             << " server=" << server
             << " status=" << exchange.attempt.head.status
             << " wrong_server=" << wrong;
-  ++exchange.sheds;
+  ++exchange.shed_attempts;
   const ExchangeId id = exchange.id;
-  EndAttempt(exchange, EndKind::kShed);
+  FinishAttempt(exchange, EndKind::kShed);
   if (wrong && on_wrong_server_) on_wrong_server_(server);
   if (Find(id) == nullptr) return;
-  if (exchange.sheds <= kMostSheds && Resend(exchange, "not run")) return;
+  if (exchange.shed_attempts <= kMaxShedAttempts && Retry(exchange, "not run"))
+    return;
   Refuse(exchange, {Code::kQueueFull, "the servers have no room"},
-         kComeBackSoon);
+         kShortRetryAfter);
 }
 
 // It may have run there.
-void Forwarder::Failed(Exchange& exchange, const std::string& detail) {
+void Forwarder::OnAttemptFailed(Exchange& exchange, const std::string& detail) {
   LOG(WARNING) << "event=sending-failed request=" << exchange.request->id
                << " server=" << exchange.attempt.server->id << " cause=\""
-               << detail << "\" events=" << exchange.events.events()
-               << " head=" << exchange.attempt.head_seen;
+               << detail << "\" events=" << exchange.splitter.event_count()
+               << " head=" << exchange.attempt.head_received;
   exchange.may_have_run = true;
-  const AnswerHead head = exchange.attempt.head;
-  const bool whole_failure =
-      exchange.attempt.head_seen && IsServerFailure(head.status);
+  const ResponseHead head = exchange.attempt.head;
+  const bool complete_failure =
+      exchange.attempt.head_received && IsServerFailure(head.status);
   std::string body = std::move(exchange.body);
-  EndAttempt(exchange, EndKind::kBroken);
-  const int runs = exchange.sendings - exchange.sheds;
-  if (exchange.repeatable() && runs < exchange.route->max_attempts &&
-      Resend(exchange, "may have run")) {
+  FinishAttempt(exchange, EndKind::kBroken);
+  const int executions = exchange.attempts - exchange.shed_attempts;
+  if (exchange.safe_to_retry() && executions < exchange.route->max_attempts &&
+      Retry(exchange, "may have run")) {
     return;
   }
-  if (whole_failure && !exchange.answering) {
+  if (complete_failure && !exchange.response_started) {
     exchange.attempt.head = head;
     exchange.body = std::move(body);
-    return Answer(exchange);
+    return FinishResponse(exchange);
   }
-  GiveUp(exchange, {Code::kServerBroke, detail});
+  FailRequest(exchange, {Code::kServerBroke, detail});
 }
 
-bool Forwarder::Resend(Exchange& exchange, std::string_view why) {
-  if (exchange.deadline - clock_() < kLeastTimeToResend) return false;
+bool Forwarder::Retry(Exchange& exchange, std::string_view reason) {
+  if (exchange.deadline - clock_() < kMinTimeToRetry) return false;
   if (!QueueOf(exchange.service->id).retries().Take()) {
     LOG(INFO) << "event=no-retry-budget request=" << exchange.request->id;
     return false;
   }
   const ServerId avoid = exchange.attempt.server->id;
   LOG(INFO) << "event=resend request=" << exchange.request->id
-            << " after=" << avoid << " why=\"" << why
-            << "\" last_event=" << exchange.events.last_event();
-  if (exchange.answering) metrics_->CountResumed();
+            << " after=" << avoid << " why=\"" << reason
+            << "\" last_event=" << exchange.splitter.last_event();
+  if (exchange.response_started) metrics_->CountResumed();
   Enqueue(exchange, avoid);
   return true;
 }
--- a/src/gateway/forwarder_ending.cc
+++ b/src/gateway/forwarder_finish.cc
@@ -7,7 +7,7 @@
 
 #include "absl/strings/str_format.h"
 #include "gateway/forwarder.h"
-#include "gateway/forwarding.h"
+#include "gateway/forwarder_internal.h"
 
 namespace gentianlb::gateway {
 namespace {
@@ -25,25 +25,25 @@
 
 }  // namespace
 
-std::vector<http::Header> Forwarder::AnswerHeaders(
-    const AnswerHead& head) const {
+std::vector<http::Header> Forwarder::ResponseHeaders(
+    const ResponseHead& head) const {
   std::vector<http::Header> headers = head.headers;
   if (draining_) headers.push_back({"Connection", "close"});
   return headers;
 }
 
-void Forwarder::Answer(Exchange& exchange) {
+void Forwarder::FinishResponse(Exchange& exchange) {
   const absl::Time now = clock_();
-  const AnswerHead& head = exchange.attempt.head;
+  const ResponseHead& head = exchange.attempt.head;
   const bool stream = exchange.is_stream() && IsSuccess(head.status);
-  if (exchange.answering) {
-    exchange.responder->Write(exchange.events.rest());
+  if (exchange.response_started) {
+    exchange.responder->Write(exchange.splitter.partial());
     exchange.responder->Finish();
   } else if (stream) {
-    exchange.responder->Respond(head.status, AnswerHeaders(head),
-                                exchange.events.rest());
+    exchange.responder->Respond(head.status, ResponseHeaders(head),
+                                exchange.splitter.partial());
   } else {
-    exchange.responder->Respond(head.status, AnswerHeaders(head),
+    exchange.responder->Respond(head.status, ResponseHeaders(head),
                                 std::move(exchange.body));
   }
   const absl::Time answered = stream ? exchange.first_event : now;
@@ -53,11 +53,12 @@
             << " route=" << exchange.route->name
             << " tier=" << exchange.tier.rank << " status=" << head.status
             << " server=" << exchange.attempt.server->id
-            << " sendings=" << exchange.sendings
+            << " sendings=" << exchange.attempts
             << " prompt_tokens=" << exchange.prompt_tokens()
             << " first_ms=" << Milliseconds(answered - exchange.arrival)
             << " total_ms=" << Milliseconds(now - exchange.arrival)
-            << " events=" << exchange.events.events() << " in_time=" << in_time;
+            << " events=" << exchange.splitter.event_count()
+            << " in_time=" << in_time;
   Remove(exchange.id);
 }
 
@@ -66,8 +67,8 @@
   std::vector<http::Header> headers = {
       {"Content-Type", "application/problem+json"}};
   const int status = StatusOf(error);
-  const bool come_back = status == 429 || status == 503;
-  if (come_back) {
+  const bool retryable = status == 429 || status == 503;
+  if (retryable) {
     headers.push_back(
         {"Retry-After",
          absl::StrFormat("%.3f", absl::ToDoubleSeconds(retry_after))});
@@ -78,8 +79,8 @@
 
 void Forwarder::Refuse(Exchange& exchange, const Error& error,
                        absl::Duration retry_after) {
-  if (exchange.may_have_run || exchange.answering) {
-    return GiveUp(exchange, {Code::kServerBroke, error.detail});
+  if (exchange.may_have_run || exchange.response_started) {
+    return FailRequest(exchange, {Code::kServerBroke, error.detail});
   }
   const absl::Time now = clock_();
   std::size_t waiting = 0;
@@ -98,70 +99,71 @@
             << " route=" << (exchange.route ? exchange.route->name : "-");
   metrics_->CountRefused(exchange.tier, error.code);
   RespondError(*exchange.responder, error, retry_after);
-  Withdraw(exchange);
+  CancelAttempt(exchange);
   Remove(exchange.id);
 }
 
 // It may have run, so that no refusal would be true.
-void Forwarder::GiveUp(Exchange& exchange, const Error& error) {
+void Forwarder::FailRequest(Exchange& exchange, const Error& error) {
   LOG(WARNING) << "event=given-up request=" << exchange.request->id
                << " code=" << static_cast<int>(error.code) << " cause=\""
-               << error.detail << "\" sendings=" << exchange.sendings
-               << " events=" << exchange.events.events()
+               << error.detail << "\" sendings=" << exchange.attempts
+               << " events=" << exchange.splitter.event_count()
                << " after_ms=" << Milliseconds(clock_() - exchange.arrival)
-               << " answering=" << exchange.answering
+               << " answering=" << exchange.response_started
                << " prompt_tokens=" << exchange.prompt_tokens()
                << " route=" << exchange.route->name;
   metrics_->CountCancelled(error.code);
-  if (exchange.answering) {
+  if (exchange.response_started) {
     exchange.responder->Abort();
   } else {
     RespondError(*exchange.responder, error, absl::ZeroDuration());
   }
-  Withdraw(exchange);
+  CancelAttempt(exchange);
   Remove(exchange.id);
 }
 
-void Forwarder::DeadlinePassed(Exchange& exchange) {
+void Forwarder::OnDeadlinePassed(Exchange& exchange) {
   exchange.deadline_timer = 0;
   const bool sent = exchange.attempt.transfer != 0 || exchange.may_have_run;
   if (sent) {
-    return GiveUp(exchange, {Code::kServerTimeout, "the deadline passed"});
+    return FailRequest(exchange, {Code::kServerTimeout, "the deadline passed"});
   }
-  Refuse(exchange, {Code::kDeadlinePassed, "while it waited"}, kComeBackSoon);
+  Refuse(exchange, {Code::kDeadlinePassed, "while it waited"},
+         kShortRetryAfter);
 }
 
-void Forwarder::CallerGone(Exchange& exchange) {
+void Forwarder::OnCallerDisconnected(Exchange& exchange) {
   LOG(INFO) << "event=caller-gone request=" << exchange.request->id
-            << " sendings=" << exchange.sendings
-            << " events=" << exchange.events.events()
+            << " sendings=" << exchange.attempts
+            << " events=" << exchange.splitter.event_count()
             << " after_ms=" << Milliseconds(clock_() - exchange.arrival)
             << " prompt_tokens=" << exchange.prompt_tokens()
             << " route=" << exchange.route->name;
   metrics_->CountCancelled(Code::kCallerGone);
-  Withdraw(exchange);
+  CancelAttempt(exchange);
   Remove(exchange.id);
 }
 
-void Forwarder::Withdraw(Exchange& exchange) {
+void Forwarder::CancelAttempt(Exchange& exchange) {
   if (exchange.attempt.transfer != 0) {
     servers_.cancel(exchange.attempt.transfer);
-    EndTransfer(exchange);
-    EndAttempt(exchange, EndKind::kCancelled);
+    FinishTransfer(exchange);
+    FinishAttempt(exchange, EndKind::kCancelled);
     return;
   }
   const RequestId dispatch_id = exchange.attempt.dispatch_id;
   if (dispatch_id.empty()) return;
   exchange.attempt.dispatch_id = RequestId();
-  by_dispatch_.erase(dispatch_id);
-  Tell(exchange.service->id, schedule::CallerGone{dispatch_id});
+  exchange_by_dispatch_id_.erase(dispatch_id);
+  NotifyDispatcher(exchange.service->id, schedule::CallerGone{dispatch_id});
 }
 
 void Forwarder::Remove(ExchangeId id) {
   const auto found = exchanges_.find(id);
   if (found == exchanges_.end()) return;
   timers_->Cancel(found->second->deadline_timer);
-  GiveBackQuota(*found->second);
+  RefundQuota(*found->second);
   exchanges_.erase(found);
 }
 
--- a/src/gateway/forwarding.h
+++ b/src/gateway/forwarder_internal.h
@@ -1,7 +1,7 @@
 // What the parts of the forwarder share.
 
-#ifndef GENTIANLB_GATEWAY_FORWARDING_H_
-#define GENTIANLB_GATEWAY_FORWARDING_H_
+#ifndef GENTIANLB_GATEWAY_FORWARDER_INTERNAL_H_
+#define GENTIANLB_GATEWAY_FORWARDER_INTERNAL_H_
 
 #include <cstdint>
 
@@ -11,7 +11,7 @@
 
 // A caller that finds no configuration or a host about to stop may find another
 // host, or this one, ready a moment later.
-inline constexpr absl::Duration kComeBackSoon = absl::Milliseconds(500);
+inline constexpr absl::Duration kShortRetryAfter = absl::Milliseconds(500);
 
 inline bool IsSuccess(int status) { return status >= 200 && status < 300; }
 inline bool IsServerFailure(int status) { return status >= 500; }
@@ -23,4 +23,4 @@
 
 }  // namespace gentianlb::gateway
 
-#endif  // GENTIANLB_GATEWAY_FORWARDING_H_
+#endif  // GENTIANLB_GATEWAY_FORWARDER_INTERNAL_H_
--- a/src/gateway/forwarder_test.cc
+++ b/src/gateway/forwarder_test.cc
@@ -12,7 +12,7 @@
 
 BOOST_AUTO_TEST_CASE(BeforeAnyConfigurationCallersAreToldToComeBack) {
   FakeSite site;
-  const auto caller = site.Ask("/read/1");
+  const auto caller = site.SendRequest("/read/1");
   BOOST_TEST(caller->status == 503);
   BOOST_TEST(!caller->header("Retry-After").empty());
   BOOST_TEST(!site.forwarder->configured());
@@ -21,16 +21,16 @@
 BOOST_AUTO_TEST_CASE(UnknownPathsAndKeysAreRefused) {
   FakeSite site;
   site.Configure();
-  BOOST_TEST(site.Ask("/nowhere/1")->status == 404);
-  BOOST_TEST(site.Ask("/read/1", "stolen")->status == 401);
-  BOOST_TEST(site.Ask("/read/1", "")->status == 401);
+  BOOST_TEST(site.SendRequest("/nowhere/1")->status == 404);
+  BOOST_TEST(site.SendRequest("/read/1", "stolen")->status == 401);
+  BOOST_TEST(site.SendRequest("/read/1", "")->status == 401);
   BOOST_TEST(site.calls.empty());
 }
 
 BOOST_AUTO_TEST_CASE(APlainAnswerComesWholeAndUnchanged) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/pay/1");
+  const auto caller = site.SendRequest("/pay/1");
   BOOST_REQUIRE(site.calls.size() == 1u);
   BOOST_TEST(site.last().call.workspace.str() == "w");
   site.last().Head(201);
@@ -47,7 +47,7 @@
 BOOST_AUTO_TEST_CASE(AStreamIsRelayedEventByEvent) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/stream/1");
+  const auto caller = site.SendRequest("/stream/1");
   site.last().Head(200);
   site.last().Data("id: 1\ndata: a\n\nid: 2\nda");
   BOOST_TEST(caller->body == "id: 1\ndata: a\n\n");
@@ -63,7 +63,7 @@
 BOOST_AUTO_TEST_CASE(APaymentThatMayHaveRunIsNotRepeatedNorRefused) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/pay/1");
+  const auto caller = site.SendRequest("/pay/1");
   site.last().End(TransferEnd::kBroken);
   BOOST_TEST(site.calls.size() == 1u);
   BOOST_TEST(caller->status == 502);
@@ -74,7 +74,7 @@
 BOOST_AUTO_TEST_CASE(WhatAServerHasNotRunGoesToAnother) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/pay/1");
+  const auto caller = site.SendRequest("/pay/1");
   const std::string first = site.last().server();
   site.last().Head(503, /*not_run=*/true);
   site.last().End();
@@ -89,11 +89,11 @@
 BOOST_AUTO_TEST_CASE(WhatNoServerHasRunIsRefusedTruthfully) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/pay/1");
+  const auto caller = site.SendRequest("/pay/1");
   while (!caller->complete) {
     site.last().Head(503, /*not_run=*/true);
     site.last().End();
-    site.Pass(absl::Seconds(1));
+    site.AdvanceTime(absl::Seconds(1));
   }
   BOOST_TEST(site.calls.size() <= 3u);
   BOOST_TEST(caller->status == 503);
@@ -105,13 +105,13 @@
 BOOST_AUTO_TEST_CASE(AfterAnUnknownOutcomeNothingIsSaidToBeNotRun) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/read/1");
+  const auto caller = site.SendRequest("/read/1");
   site.last().End(TransferEnd::kBroken);
   BOOST_REQUIRE(site.calls.size() == 2u);
   while (!caller->complete) {
     site.last().Head(503, /*not_run=*/true);
     site.last().End();
-    site.Pass(absl::Seconds(1));
+    site.AdvanceTime(absl::Seconds(1));
   }
   BOOST_TEST(caller->status == 502);
 }
@@ -119,7 +119,7 @@
 BOOST_AUTO_TEST_CASE(AnIdempotentCallIsRepeatedWithinItsAttempts) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/read/1");
+  const auto caller = site.SendRequest("/read/1");
   site.last().End(TransferEnd::kBroken);
   BOOST_REQUIRE(site.calls.size() == 2u);
   site.last().Answer(500, "broken");
@@ -134,9 +134,9 @@
 // by several times the allowed repeats, all at once.
 BOOST_AUTO_TEST_CASE(ManyHostsShareTheRetryBurst) {
   FakeSite site;
-  site.demand.Know(90);
+  site.demand.RaiseHostCount(90);
   site.Configure();
-  const auto caller = site.Ask("/read/1");
+  const auto caller = site.SendRequest("/read/1");
   site.last().End(TransferEnd::kBroken);
   BOOST_TEST(site.calls.size() == 1u);  // A thirtieth of a repeat was saved.
   BOOST_TEST(caller->status == 502);
@@ -147,7 +147,7 @@
 BOOST_AUTO_TEST_CASE(WhatWasNeverSentGoesElsewhere) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/pay/1");
+  const auto caller = site.SendRequest("/pay/1");
   site.last().End(TransferEnd::kNotSent);
   BOOST_REQUIRE(site.calls.size() == 2u);
   BOOST_TEST(site.calls[0]->server() != site.calls[1]->server());
@@ -160,7 +160,7 @@
 BOOST_AUTO_TEST_CASE(AResumableStreamGoesOnElsewhere) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/resume/1");
+  const auto caller = site.SendRequest("/resume/1");
   const std::string first = site.last().server();
   site.last().Head(200);
   site.last().Data("id: 1\ndata: a\n\nid: 2\ndata: b");
@@ -180,7 +180,7 @@
 BOOST_AUTO_TEST_CASE(AStreamThatCannotGoOnIsVisiblyCut) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/stream/1");
+  const auto caller = site.SendRequest("/stream/1");
   site.last().Head(200);
   site.last().Data("id: 1\ndata: a\n\n");
   site.last().End(TransferEnd::kBroken);
@@ -194,10 +194,10 @@
 BOOST_AUTO_TEST_CASE(AnotherRequestsAnswerIsNotPassedOn) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/pay/1");
-  AnswerHead head;
+  const auto caller = site.SendRequest("/pay/1");
+  ResponseHead head;
   head.status = 200;
-  head.is_own = false;
+  head.matches_request = false;
   BOOST_TEST((site.last().sink.on_head(head) == http::Reading::kStop));
   site.last().Data("paid");
   site.last().End(TransferEnd::kBroken);
@@ -209,11 +209,11 @@
 BOOST_AUTO_TEST_CASE(ACallerThatLeavesStopsTheWork) {
   FakeSite site;
   site.Configure();
-  const auto sent = site.Ask("/stream/1");
+  const auto sent = site.SendRequest("/stream/1");
   sent->gone();
   BOOST_TEST(site.last().cancelled);
   BOOST_TEST(site.forwarder->open_requests() == 0u);
-  for (const ServerUse& use : site.forwarder->Uses()) {
+  for (const ServerUse& use : site.forwarder->ServerUses()) {
     BOOST_TEST(use.running == 0);
   }
 }
@@ -223,14 +223,14 @@
 BOOST_AUTO_TEST_CASE(AtItsTimeoutARequestGetsItsFinalAnswer) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/pay/1");
-  site.Pass(absl::Seconds(5));
+  const auto caller = site.SendRequest("/pay/1");
+  site.AdvanceTime(absl::Seconds(5));
   BOOST_TEST(caller->status == 504);
   BOOST_TEST(site.last().cancelled);
-  const auto stream = site.Ask("/stream/1");
+  const auto stream = site.SendRequest("/stream/1");
   site.last().Head(200);
   site.last().Data("id: 1\ndata: a\n\n");
-  site.Pass(absl::Seconds(5));
+  site.AdvanceTime(absl::Seconds(5));
   BOOST_TEST(stream->cut);
 }
 
@@ -242,14 +242,14 @@
   site.Configure();
   std::vector<std::shared_ptr<FakeCaller>> callers;
   callers.reserve(60);
-  for (int i = 0; i < 60; ++i) callers.push_back(site.Ask("/stream/1"));
+  for (int i = 0; i < 60; ++i) callers.push_back(site.SendRequest("/stream/1"));
   BOOST_TEST(site.calls.size() == 4u);  // Two servers with two streams each.
   auto answered = [&] {
     return std::count_if(callers.begin(), callers.end(),
                          [](const auto& caller) { return caller->complete; });
   };
   BOOST_TEST(answered() > 20);  // Refused at once.
-  site.Pass(absl::Seconds(5));
+  site.AdvanceTime(absl::Seconds(5));
   BOOST_TEST(answered() == 60);
   for (const auto& caller : callers) {
     const bool refused = caller->status == 503;
@@ -265,7 +265,7 @@
   older.routes.clear();
   site.forwarder->SetConfiguration(std::move(older));
   BOOST_TEST(site.forwarder->version() == 5);
-  site.Ask("/read/1");
+  site.SendRequest("/read/1");
   BOOST_TEST(site.calls.size() == 1u);
 }
 
@@ -274,11 +274,11 @@
 BOOST_AUTO_TEST_CASE(ARequestKeepsTheVersionItBeganWith) {
   FakeSite site;
   site.Configure(5);
-  const auto before = site.Ask("/read/1");
+  const auto before = site.SendRequest("/read/1");
   Configuration next = FakeSite::MakeConfiguration(6);
   next.routes.clear();
   site.forwarder->SetConfiguration(std::move(next));
-  BOOST_TEST(site.Ask("/read/1")->status == 404);
+  BOOST_TEST(site.SendRequest("/read/1")->status == 404);
   site.last().End(TransferEnd::kBroken);
   BOOST_REQUIRE(site.calls.size() == 2u);  // Repeated as its route allows.
   site.last().Answer(200, "read");
@@ -290,17 +290,17 @@
 BOOST_AUTO_TEST_CASE(ADrainingServerGetsNothingNew) {
   FakeSite site;
   site.Configure();
-  const auto caller = site.Ask("/pay/1");
+  const auto caller = site.SendRequest("/pay/1");
   const std::string leaving = site.last().server();
   ServerEntry entry;
   for (const ServerEntry& one : site.directory.ServersOf(ServiceId("plain"))) {
     if (one.id.str() == leaving) entry = one;
   }
   entry.draining = true;
-  site.directory.Change(leaving, entry, site.now);
-  site.forwarder->ServersChanged();
+  site.directory.Update(leaving, entry, site.now);
+  site.forwarder->OnServersChanged();
   for (int i = 0; i < 3; ++i) {
-    site.Ask("/pay/1");
+    site.SendRequest("/pay/1");
     BOOST_TEST(site.last().server() != leaving);
   }
   site.calls[0]->Answer(200, "paid");
@@ -314,9 +314,9 @@
   std::string reported;
   site.forwarder->OnWrongServer(
       [&](const ServerId& server) { reported = server.str(); });
-  const auto caller = site.Ask("/pay/1");
+  const auto caller = site.SendRequest("/pay/1");
   const std::string first = site.last().server();
-  AnswerHead head;
+  ResponseHead head;
   head.status = 421;
   head.not_run = true;
   head.wrong_server = true;
@@ -330,18 +330,18 @@
 BOOST_AUTO_TEST_CASE(WhileDrainingAnswersCloseTheirConnection) {
   FakeSite site;
   site.Configure();
-  const auto before = site.Ask("/pay/1");
+  const auto before = site.SendRequest("/pay/1");
   site.forwarder->Drain(PlanDrain(site.now, absl::Seconds(8)));
   site.last().Answer(200, "paid");
   BOOST_TEST(before->header("Connection") == "close");
   // What may last is refused first, then everything.
-  site.Pass(absl::Seconds(4));
-  BOOST_TEST(site.Ask("/stream/1")->status == 503);
-  const auto call = site.Ask("/pay/1");
+  site.AdvanceTime(absl::Seconds(4));
+  BOOST_TEST(site.SendRequest("/stream/1")->status == 503);
+  const auto call = site.SendRequest("/pay/1");
   site.last().Answer(200, "paid");
   BOOST_TEST(call->status == 200);
-  site.Pass(absl::Milliseconds(3590));
-  BOOST_TEST(site.Ask("/pay/1")->status == 503);
+  site.AdvanceTime(absl::Milliseconds(3590));
+  BOOST_TEST(site.SendRequest("/pay/1")->status == 503);
 }
 
 // The dispatcher of a group, on another host, has not yet heard that a server
@@ -351,7 +351,7 @@
   FakeSite site;
   site.Configure();
   // All streams are taken, so that the fifth waits.
-  for (int i = 0; i < 5; ++i) site.Ask("/read/1");
+  for (int i = 0; i < 5; ++i) site.SendRequest("/read/1");
   BOOST_REQUIRE(site.calls.size() == 4u);
   ServerEntry leaving;
   leaving.id = ServerId("plain-b");
@@ -359,16 +359,16 @@
   leaving.address = {"10.0.0.1", 80};
   leaving.streams = 2;
   leaving.draining = true;
-  site.directory.Change("plain-b", leaving, site.now);
-  site.forwarder->ServersChanged();
+  site.directory.Update("plain-b", leaving, site.now);
+  site.forwarder->OnServersChanged();
   // The host counts its requests from the time of its start.
   const std::int64_t fifth = absl::ToUnixMicros(site.now) + 4;
   const RequestId id(std::to_string(fifth));
-  site.forwarder->Decide(
+  site.forwarder->ApplyDecision(
       schedule::Grant{id, EntryHostId("h"), ServerId("plain-b")});
   BOOST_TEST(site.calls.size() == 4u);
   // The same of a server that stays is sent, so that the name is right.
-  site.forwarder->Decide(
+  site.forwarder->ApplyDecision(
       schedule::Grant{id, EntryHostId("h"), ServerId("plain-a")});
   BOOST_TEST(site.calls.size() == 5u);
 }
@@ -382,14 +382,14 @@
                                        .burst_tokens = 300};
   site.forwarder->SetConfiguration(std::move(configuration));
   for (int i = 0; i < 5; ++i) {
-    BOOST_TEST(site.Ask("/stream/1")->status == 503);
+    BOOST_TEST(site.SendRequest("/stream/1")->status == 503);
   }
   // Sent to a server they do cost.
   site.AddServer("llm-a", "llm", 2);
-  site.forwarder->ServersChanged();
-  site.Ask("/stream/1");
+  site.forwarder->OnServersChanged();
+  site.SendRequest("/stream/1");
   BOOST_TEST(site.calls.size() == 1u);
-  BOOST_TEST(site.Ask("/stream/1")->status == 429);
+  BOOST_TEST(site.SendRequest("/stream/1")->status == 429);
 }
 
 }  // namespace
--- a/src/gateway/group_dispatchers.cc
+++ b/src/gateway/group_dispatchers.cc
@@ -213,7 +213,7 @@
       hooks_.answer(grant->host,
                     schedule::Grant{NameThere(grant->host, grant->id),
                                     grant->host, grant->server});
-      hooks_.tell_room(grant->host, {group, kept->queue.Room()});
+      hooks_.tell_room(grant->host, {group, kept->queue.FreeCapacity()});
     } else if (const auto* refusal = std::get_if<schedule::Refuse>(&decision)) {
       // One whose caller left needs no answer.
       if (!kept->waiting.erase(refusal->id)) continue;
@@ -221,7 +221,7 @@
       schedule::Refuse answer = *refusal;
       answer.id = NameThere(refusal->host, refusal->id);
       hooks_.answer(refusal->host, std::move(answer));
-      hooks_.tell_room(refusal->host, {group, kept->queue.Room()});
+      hooks_.tell_room(refusal->host, {group, kept->queue.FreeCapacity()});
     }
     // A host ends what has passed its deadline by itself.
   }
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -9,23 +9,23 @@
 namespace {
 
 // Lines that a killed process takes with it are those of the last moments.
-constexpr absl::Duration kLogFlush = absl::Milliseconds(200);
+constexpr absl::Duration kLogFlushInterval = absl::Milliseconds(200);
 
 // While draining: how long a connection may be idle, and how often the host
 // looks whether it is done.
-constexpr absl::Duration kIdleWhileDraining = absl::Seconds(1);
-constexpr absl::Duration kDrainLook = absl::Milliseconds(50);
+constexpr absl::Duration kDrainIdleTimeout = absl::Seconds(1);
+constexpr absl::Duration kDrainCheckInterval = absl::Milliseconds(50);
 
 // What callers may send, at the most; today's operators allow just this.
-constexpr std::size_t kMostHeaderBytes = 16 << 10;
-constexpr std::size_t kMostBodyBytes = 4 << 20;
+constexpr std::size_t kMaxHeaderBytes = 16 << 10;
+constexpr std::size_t kMaxBodyBytes = 4 << 20;
 
 // Callers' connections beyond this are not taken; each costs some kilobytes.
-constexpr unsigned kMostCallers = 1500;
+constexpr unsigned kMaxCallerConnections = 1500;
 
 // A part below the bound, since retries and the requests that earn them are
 // not counted at the same moment by those who check.
-constexpr double kRetryMargin = 0.75;
+constexpr double kRetryShare = 0.75;
 
 std::uint64_t SeedOf(const settings::GatewaySettings& settings) {
   return absl::HashOf(settings.id);
@@ -40,7 +40,7 @@
   options.queue.dispatcher.preempts = false;
   options.queue.dispatcher.shortest_come_back = absl::Milliseconds(300);
   options.queue.retries.retries_per_call =
-      kRetryMargin * settings.retries_per_request;
+      kRetryShare * settings.retries_per_request;
   options.retry_burst = settings.retry_burst;
   return options;
 }
@@ -61,11 +61,11 @@
           [loop] { return loop->now(); },
           {.tell_own =
                [this](const ServiceId& service, const schedule::Event& event) {
-                 forwarder_.TellOwn(service, event);
+                 forwarder_.NotifyLocalDispatcher(service, event);
                },
            .decide =
                [this](const schedule::Decision& decision) {
-                 forwarder_.Decide(decision);
+                 forwarder_.ApplyDecision(decision);
                },
            .send =
                [this](const EntryHostId& host, std::string_view bytes) {
@@ -75,7 +75,7 @@
                [loop](std::function<void()> closure) {
                  loop->Defer(std::move(closure));
                }}),
-      early_(
+      startup_queue_(
           &loop->timers(), [loop] { return loop->now(); },
           [this](CallerRequest request,
                  std::shared_ptr<http::Responder> responder) {
@@ -85,19 +85,19 @@
           {.table = platform_.configuration_table}, platform_.table,
           &loop->timers(), [loop] { return loop->now(); }, SeedOf(settings),
           [this](const auto& rows, bool, absl::Time) {
-            TakeConfiguration(rows);
+            OnConfigurationRows(rows);
           },
           [](bool, absl::Time) {}),
       servers_(
           {.table = platform_.server_table}, platform_.table, &loop->timers(),
           [loop] { return loop->now(); }, SeedOf(settings) + 1,
           [this](const auto& rows, bool whole, absl::Time now) {
-            TakeServers(rows, whole, now);
+            OnServerRows(rows, whole, now);
           },
           [this](bool up, absl::Time now) {
             if (!up) return;
-            service_return_.Noticed(now);
-            directory_.ServiceReturned(now);
+            table_recovery_.OnRecovered(now);
+            directory_.OnTableRecovered(now);
           }),
       sharing_(
           settings.id.str(), {&configuration_, &servers_},
@@ -127,14 +127,15 @@
   if (auto error = host->MeetPeers()) return *error;
   host->forwarder_.OnWrongServer([self = host.get()](const ServerId& server) {
     // Whatever its registration says, another server answers there.
-    if (self->directory_.Change(server.str(), std::nullopt,
+    if (self->directory_.Update(server.str(), std::nullopt,
                                 self->loop_->now())) {
-      self->ServersChanged();
+      self->OnServersChanged();
     }
   });
-  host->timers_.push_back(loop->timers().Every(
-      loop->now() + kLogFlush, kLogFlush, [log](absl::Time) { log->Flush(); }));
-  host->forwarder_.UseGroups(&host->groups_);
+  host->timers_.push_back(
+      loop->timers().Every(loop->now() + kLogFlushInterval, kLogFlushInterval,
+                           [log](absl::Time) { log->Flush(); }));
+  host->forwarder_.SetGroupLink(&host->groups_);
   host->configuration_.Start();
   host->servers_.Start();
   LOG(INFO) << "event=started zone=" << settings.zone
@@ -152,42 +153,42 @@
     chosen.address = endpoint.ip;
     chosen.port = static_cast<std::uint16_t>(endpoint.port);
     chosen.limits.max_connections = connections;
-    chosen.limits.max_header_bytes = kMostHeaderBytes;
-    chosen.limits.max_body_bytes = kMostBodyBytes;
+    chosen.limits.max_header_bytes = kMaxHeaderBytes;
+    chosen.limits.max_body_bytes = kMaxBodyBytes;
     chosen.loop = loop_;
     auto started = http::Server::Start(chosen, std::move(handler));
     if (!started.ok()) return started.error();
     *server = std::move(started.value());
     return std::nullopt;
   };
-  constexpr unsigned kFewConnections = 32;
+  constexpr unsigned kMaxAdminConnections = 32;
   if (auto error = listen(
-          settings_.callers, kMostCallers,
+          settings_.callers, kMaxCallerConnections,
           [this](http::Request request, auto responder) {
-            TakeRequest(std::move(request), std::move(responder));
+            HandleRequest(std::move(request), std::move(responder));
           },
           &callers_)) {
     return error;
   }
   if (auto error = listen(
-          settings_.ready, kFewConnections,
+          settings_.ready, kMaxAdminConnections,
           [this](const http::Request& request, auto responder) {
-            TakeQuestion(request, *responder);
+            HandleReadinessCheck(request, *responder);
           },
           &ready_)) {
     return error;
   }
   return listen(
-      settings_.metrics, kFewConnections,
+      settings_.metrics, kMaxAdminConnections,
       [this](const http::Request&, auto responder) {
         responder->Respond(200, {{"Content-Type", "text/plain"}},
-                           MetricsText());
+                           BuildMetricsText());
       },
       &metrics_server_);
 }
 
-void Host::TakeRequest(http::Request request,
-                       std::shared_ptr<http::Responder> responder) {
+void Host::HandleRequest(http::Request request,
+                         std::shared_ptr<http::Responder> responder) {
   auto read = platform_.read_request(std::move(request));
   if (!read.ok()) {
     LOG(INFO) << "event=malformed code=" << static_cast<int>(read.error().code)
@@ -195,14 +196,14 @@
     metrics_.CountMalformed(read.error().code);
     return http::RespondProblem(*responder, read.error());
   }
-  if (!informed()) {
-    return early_.Hold(std::move(read.value()), std::move(responder));
+  if (!initialized()) {
+    return startup_queue_.Hold(std::move(read.value()), std::move(responder));
   }
   forwarder_.Accept(std::move(read.value()), std::move(responder));
 }
 
-void Host::TakeQuestion(const http::Request& request,
-                        http::Responder& responder) const {
+void Host::HandleReadinessCheck(const http::Request& request,
+                                http::Responder& responder) const {
   if (request.path != settings_.ready_path) {
     return http::RespondProblem(responder,
                                 {Code::kUnknownPath, settings_.ready_path});
@@ -210,13 +211,13 @@
   responder.Respond(ready() ? 200 : 503, {}, "");
 }
 
-bool Host::informed() const {
+bool Host::initialized() const {
   return forwarder_.configured() && servers_.complete();
 }
 
-bool Host::ready() const { return informed() && !draining_; }
+bool Host::ready() const { return initialized() && !draining_; }
 
-std::string Host::MetricsText() {
+std::string Host::BuildMetricsText() {
   metrics_.Set("gentianlb_configuration_version", "In force", {},
                static_cast<double>(forwarder_.version()));
   metrics_.Set("gentianlb_open_requests", "Being served", {},
@@ -243,7 +244,7 @@
   return metrics_.Text();
 }
 
-void Host::TakeConfiguration(const std::vector<TableRow>& rows) {
+void Host::OnConfigurationRows(const std::vector<TableRow>& rows) {
   for (const TableRow& row : rows) {
     if (row.key != platform_.configuration_key || row.removed) continue;
     auto read = platform_.read_configuration(row.value);
@@ -256,12 +257,12 @@
     callers_->SetIdleTimeout(read.value().limits.idle_timeout);
     forwarder_.SetConfiguration(std::move(read.value()));
   }
-  if (informed()) early_.Release();
+  if (initialized()) startup_queue_.Release();
 }
 
-void Host::TakeServers(const std::vector<TableRow>& rows, bool whole,
-                       absl::Time now) {
-  std::vector<std::pair<std::string, ServerEntry>> named;
+void Host::OnServerRows(const std::vector<TableRow>& rows, bool whole,
+                        absl::Time now) {
+  std::vector<std::pair<std::string, ServerEntry>> listed;
   bool changed = false;
   for (const TableRow& row : rows) {
     std::optional<ServerEntry> entry;
@@ -277,21 +278,21 @@
               << " usable=" << entry.has_value()
               << " draining=" << (entry && entry->draining)
               << " started=" << (entry ? entry->started : 0);
-    if (whole && entry) named.emplace_back(row.key, *entry);
-    if (!whole) changed |= directory_.Change(row.key, entry, now);
+    if (whole && entry) listed.emplace_back(row.key, *entry);
+    if (!whole) changed |= directory_.Update(row.key, entry, now);
   }
-  if (whole) changed = directory_.Replace(named, now);
-  if (changed || whole) ServersChanged();
+  if (whole) changed = directory_.Replace(listed, now);
+  if (changed || whole) OnServersChanged();
   loop_->timers().Cancel(expiry_);
   if (directory_.NextExpiry() == absl::InfiniteFuture()) return;
   expiry_ = loop_->timers().At(directory_.NextExpiry(), [this](absl::Time at) {
-    if (directory_.Expire(at)) ServersChanged();
+    if (directory_.Expire(at)) OnServersChanged();
   });
 }
 
-void Host::ServersChanged() {
-  forwarder_.ServersChanged();
-  if (informed()) early_.Release();
+void Host::OnServersChanged() {
+  forwarder_.OnServersChanged();
+  if (initialized()) startup_queue_.Release();
 }
 
 void Host::Drain() {
@@ -304,17 +305,16 @@
   groups_.Drain();
   TimerService& timers = loop_->timers();
   timers_.push_back(timers.At(drain_.close_idle_from, [this](absl::Time) {
-    callers_->SetIdleTimeout(kIdleWhileDraining);
+    callers_->SetIdleTimeout(kDrainIdleTimeout);
   }));
   timers_.push_back(timers.At(drain_.no_requests_from, [this](absl::Time) {
     callers_->StopAccepting();
   }));
-  timers_.push_back(
-      timers.Every(drain_.no_streams_from, kDrainLook,
-                   [this](absl::Time at) { LookWhetherDrained(at); }));
+  timers_.push_back(timers.Every(drain_.no_streams_from, kDrainCheckInterval,
+                                 [this](absl::Time at) { CheckDrained(at); }));
 }
 
-void Host::LookWhetherDrained(absl::Time now) {
+void Host::CheckDrained(absl::Time now) {
   const bool done =
       forwarder_.open_requests() == 0 && callers_->open_connections() == 0;
   if (!done && now < drain_.end) return;
--- a/src/gateway/host.h
+++ b/src/gateway/host.h
@@ -13,13 +13,13 @@
 
 #include "gateway/demand.h"
 #include "gateway/directory.h"
-#include "gateway/early_requests.h"
 #include "gateway/forwarder.h"
 #include "gateway/group_link.h"
 #include "gateway/messages.h"
 #include "gateway/peers.h"
-#include "gateway/service_return.h"
+#include "gateway/startup_queue.h"
 #include "gateway/table_follower.h"
+#include "gateway/table_recovery.h"
 #include "gateway/table_sharing.h"
 #include "http/server.h"
 #include "log/bounded_log.h"
@@ -61,7 +61,7 @@
 
   bool ready() const;
   // Whether there is a configuration, and a list of servers.
-  bool informed() const;
+  bool initialized() const;
   std::uint16_t callers_port() const { return callers_->port(); }
   std::uint16_t ready_port() const { return ready_->port(); }
 
@@ -79,17 +79,17 @@
   void SendChanges(const std::vector<std::string>& hosts,
                    const TableChanges& changes);
   void AskOthers(const TableQuestion& question, int tries);
-  void TakeRequest(http::Request request,
-                   std::shared_ptr<http::Responder> responder);
-  void TakeQuestion(const http::Request& request,
-                    http::Responder& responder) const;
-  std::string MetricsText();
+  void HandleRequest(http::Request request,
+                     std::shared_ptr<http::Responder> responder);
+  void HandleReadinessCheck(const http::Request& request,
+                            http::Responder& responder) const;
+  std::string BuildMetricsText();
 
-  void TakeConfiguration(const std::vector<TableRow>& rows);
-  void TakeServers(const std::vector<TableRow>& rows, bool whole,
-                   absl::Time now);
-  void ServersChanged();
-  void LookWhetherDrained(absl::Time now);
+  void OnConfigurationRows(const std::vector<TableRow>& rows);
+  void OnServerRows(const std::vector<TableRow>& rows, bool whole,
+                    absl::Time now);
+  void OnServersChanged();
+  void CheckDrained(absl::Time now);
 
   const settings::GatewaySettings settings_;
   const Platform platform_;
@@ -101,11 +101,11 @@
   Demand demand_;
   Forwarder forwarder_;
   GroupLink groups_;
-  EarlyRequests early_;
+  StartupQueue startup_queue_;
   TableFollower configuration_;
   TableFollower servers_;
   TableSharing sharing_;
-  ServiceReturn service_return_;
+  TableRecovery table_recovery_;
   std::unique_ptr<Peers> peers_;
   std::unique_ptr<http::Server> callers_;
   std::unique_ptr<http::Server> ready_;
--- a/src/gateway/host_fleet.cc
+++ b/src/gateway/host_fleet.cc
@@ -32,7 +32,7 @@
     sharing_.HeardZone(zone, loop_->now());
   };
   hooks.on_other = [this](std::string_view bytes) { TakeOther(bytes); };
-  hooks.on_known = [this](int hosts) { demand_.Know(hosts); };
+  hooks.on_known = [this](int hosts) { demand_.RaiseHostCount(hosts); };
   hooks.on_tick = [this](absl::Time now) { UseNews(now); };
   auto started =
       Peers::Start(options, platform_.table, loop_, std::move(hooks));
@@ -43,31 +43,31 @@
 
 void Host::ComposeNews(FleetNews* news) {
   news->draining = draining_;
-  news->servers = forwarder_.Uses();
-  news->workspaces = demand_.Tell(loop_->now());
+  news->servers = forwarder_.ServerUses();
+  news->workspaces = demand_.BuildUpdate(loop_->now());
   news->tables = sharing_.Tell();
   // One that follows for nobody may have been cut off alone.
   if (!peers_->fleet().aggregates()) return;
   for (TableNews& table : news->tables) {
-    table.returned_ms = service_return_.ToTell(loop_->now());
+    table.returned_ms = table_recovery_.AgeToPublish(loop_->now());
   }
 }
 
 void Host::TakeOthers(const FleetNews& others) {
   const absl::Time now = loop_->now();
-  for (const Spent& spent : demand_.Heard(others, now)) {
-    forwarder_.quotas().Spend(spent.workspace, spent.tokens, now);
+  for (const PeerUse& spent : demand_.OnPeerUpdate(others, now)) {
+    forwarder_.quotas().Charge(spent.workspace, spent.tokens, now);
   }
   for (const TableNews& table : others.tables) {
-    service_return_.Heard(table.returned_ms, now);
-    directory_.ServiceReturned(service_return_.latest());
+    table_recovery_.OnPeerReport(table.returned_ms, now);
+    directory_.OnTableRecovered(table_recovery_.latest());
   }
   sharing_.HeardOthers(others, now);
   if (others.detailed) {
     groups_.SetDispatchers(others.dispatchers);
     absl::flat_hash_map<NameHash, ServerUse> uses;
     for (const ServerUse& use : others.servers) uses[use.server] = use;
-    forwarder_.UsedElsewhere(uses);
+    forwarder_.SetPeerUses(uses);
     groups_.UsedElsewhere(uses);
   }
   UseNews(now);
@@ -116,17 +116,17 @@
 void Host::UseNews(absl::Time now) {
   sharing_.Choose({peers_->fleet().aggregates(), demand_.hosts()}, now);
   Quotas& quotas = forwarder_.quotas();
-  const std::vector<NameHash> limited = quotas.Limited();
-  demand_.Agree(limited, now);
+  const std::vector<NameHash> limited = quotas.LimitedWorkspaces();
+  demand_.UpdateShares(limited, now);
   for (const NameHash workspace : limited) {
-    quotas.SetPart(workspace, demand_.Part(workspace, now), now);
-    quotas.SetOthers(workspace, demand_.Others(workspace, now), now);
+    quotas.SetShare(workspace, demand_.LimitShare(workspace, now), now);
+    quotas.SetPeerDemand(workspace, demand_.DemandOfPeers(workspace, now), now);
   }
   if (hosts_told_ == demand_.hosts()) return;
   if (now - hosts_told_at_ < kHostsPeriod) return;
   hosts_told_ = demand_.hosts();
   hosts_told_at_ = now;
-  forwarder_.ServersChanged();
+  forwarder_.OnServersChanged();
 }
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/messages.h
+++ b/src/gateway/messages.h
@@ -79,22 +79,22 @@
 };
 
 // The head of a server's answer.
-struct AnswerHead {
+struct ResponseHead {
   int status = 0;
   std::vector<http::Header> headers;  // To be passed on to the caller.
-  bool is_own = true;                 // False: it answers another request.
+  bool matches_request = true;        // False: it answers another request.
   bool signed_ = false;               // A server of the platform made it.
   bool not_run = false;  // The server has not run the request, and never will.
   bool wrong_server = false;  // Another server has this address now.
   bool closing = false;       // The server is about to leave.
   std::optional<ServerLoad> load;
-  bool operator==(const AnswerHead&) const = default;
+  bool operator==(const ResponseHead&) const = default;
 };
 
 // What comes back from one sending, in this order. After a head that is not
 // wanted nothing but the end follows.
 struct CallSink {
-  std::function<http::Reading(AnswerHead head)> on_head;
+  std::function<http::Reading(ResponseHead head)> on_head;
   std::function<void(std::string_view bytes)> on_data;
   std::function<void(http::TransferEnd end, std::string detail)> on_end;
 };
--- a/src/gateway/quota.h
+++ b/src/gateway/quota.h
@@ -13,16 +13,16 @@
 #include "absl/time/time.h"
 #include "gateway/configuration.h"
 #include "gateway/fleet_messages.h"
-#include "gateway/unheard_use.h"
+#include "gateway/unreported_use.h"
 #include "schedule/limits.h"
 
 namespace gentianlb::gateway {
 
 // What is known of a workspace's callers at the other hosts.
-struct OthersDemand {
+struct PeerDemand {
   double tokens_per_second = 0;  // That they ask for.
-  absl::Duration heard_after;    // Until their use is heard of here.
-  bool operator==(const OthersDemand&) const = default;
+  absl::Duration report_delay;   // Until their use is heard of here.
+  bool operator==(const PeerDemand&) const = default;
 };
 
 class Quotas {
@@ -37,43 +37,43 @@
 
   // The part of the workspace's limit that is counted here, over 0 and up to 1;
   // what other hosts use of it is told by Spend().
-  void SetPart(NameHash workspace, double part, absl::Time now);
+  void SetShare(NameHash workspace, double share, absl::Time now);
 
   // What the other hosts may let through before it is heard of.
-  void SetOthers(NameHash workspace, const OthersDemand& others,
-                 absl::Time now);
+  void SetPeerDemand(NameHash workspace, const PeerDemand& peer_demand,
+                     absl::Time now);
 
   // Another host has let through `tokens`.
-  void Spend(NameHash workspace, double tokens, absl::Time now);
+  void Charge(NameHash workspace, double tokens, absl::Time now);
 
   // Those that have a limit.
-  std::vector<NameHash> Limited() const;
+  std::vector<NameHash> LimitedWorkspaces() const;
 
   // Takes `tokens`, but leaves the part `kept` of what may be let through at
   // once. When there is no more than that nothing is taken, and the answer is
   // how long until there is. One request may overdraw the limit, or one larger
   // than it holds could never run.
   std::optional<absl::Duration> Take(NameHash workspace, double tokens,
-                                     double kept, absl::Time now);
+                                     double reserved_share, absl::Time now);
 
   // What was taken is not used after all.
-  void GiveBack(NameHash workspace, double tokens, absl::Time now);
+  void Refund(NameHash workspace, double tokens, absl::Time now);
 
  private:
   struct Bucket {
     Quota quota;
-    double part = 1;
+    double share = 1;
     schedule::TokenBucket tokens;
-    OthersDemand others;
-    UnheardUse unheard;
-    absl::Time advanced;  // `unheard` counts up to then.
+    PeerDemand peer_demand;
+    UnreportedUse unreported;
+    absl::Time advanced_to;  // `unheard` counts up to then.
   };
 
   // Earns what is due, and follows the others' use.
   static void Advance(Bucket* bucket, absl::Time now);
 
-  void Fill(Bucket* bucket, absl::Time now) const;
-  double AtOnce(const Quota& quota) const;
+  void ApplyShare(Bucket* bucket, absl::Time now) const;
+  double BurstCapacity(const Quota& quota) const;
 
   double tolerance_tokens_;
 
--- a/src/gateway/quota_test.cc
+++ b/src/gateway/quota_test.cc
@@ -30,7 +30,7 @@
     workspace.quota = {kRate, kRate, 1};
     for (Quotas& host : hosts_) {
       host.Configure({workspace}, now_);
-      host.SetOthers(workspace_name, {load * kRate, kHeardAfter}, now_);
+      host.SetPeerDemand(workspace_name, {load * kRate, kHeardAfter}, now_);
     }
   }
 
@@ -72,7 +72,7 @@
       unheard_.pop_front();
     }
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
-      hosts_[i].Spend(workspace_name, all - own[i], now_);
+      hosts_[i].Charge(workspace_name, all - own[i], now_);
     }
   }
 
@@ -110,11 +110,11 @@
   absl::Time now = absl::UnixEpoch();
   Quotas quotas(kTolerance);
   quotas.Configure({workspace}, now);
-  quotas.SetOthers(workspace_name, {6 * kRate, kHeardAfter}, now);
+  quotas.SetPeerDemand(workspace_name, {6 * kRate, kHeardAfter}, now);
   now += absl::Seconds(1);
   BOOST_TEST(quotas.Take(workspace_name, kRequest, 0, now).has_value());
-  quotas.SetPart(workspace_name, kPart, now);
-  quotas.SetOthers(workspace_name, {}, now);
+  quotas.SetShare(workspace_name, kPart, now);
+  quotas.SetPeerDemand(workspace_name, {}, now);
   int served = 0;
   for (int i = 0; i < 100; ++i) {
     now += absl::Milliseconds(100);
--- a/src/gateway/liking.h
+++ b/src/gateway/server_affinity.h
@@ -10,8 +10,8 @@
 // They know most of what goes on there from themselves. Far servers are for
 // what the near ones have no room for.
 
-#ifndef GENTIANLB_GATEWAY_LIKING_H_
-#define GENTIANLB_GATEWAY_LIKING_H_
+#ifndef GENTIANLB_GATEWAY_SERVER_AFFINITY_H_
+#define GENTIANLB_GATEWAY_SERVER_AFFINITY_H_
 
 #include <cstddef>
 
@@ -19,18 +19,18 @@
 
 namespace gentianlb::gateway {
 
-struct Liking {
+struct ServerAffinity {
   // See schedule::ServerSpec.
-  double reluctance = 1;
-  double alike = 0;
-  auto operator<=>(const Liking&) const = default;
+  double cost_factor = 1;
+  double expected_competitors = 0;
+  auto operator<=>(const ServerAffinity&) const = default;
 };
 
 // How `host`, one of `hosts`, likes `server`, one of `servers` of its service.
 // The same on each host and at each time, as long as the numbers are.
-Liking LikingFor(const EntryHostId& host, const ServerId& server,
-                 std::size_t servers, int hosts);
+ServerAffinity AffinityFor(const EntryHostId& host, const ServerId& server,
+                           std::size_t servers, int hosts);
 
 }  // namespace gentianlb::gateway
 
-#endif  // GENTIANLB_GATEWAY_LIKING_H_
+#endif  // GENTIANLB_GATEWAY_SERVER_AFFINITY_H_
--- a/src/gateway/liking_test.cc
+++ b/src/gateway/server_affinity_test.cc
@@ -1,4 +1,4 @@
-#include "gateway/liking.h"
+#include "gateway/server_affinity.h"
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -8,13 +8,16 @@
 
 constexpr int kHosts = 90;
 
-bool IsNear(const Liking& liking) { return liking.reluctance == 1; }
+bool IsNear(const ServerAffinity& affinity) {
+  return affinity.cost_factor == 1;
+}
 
 int NearHosts(const std::string& server, int servers) {
   int near = 0;
   for (int i = 0; i < kHosts; ++i) {
     const EntryHostId host("host-" + std::to_string(i));
-    near += IsNear(LikingFor(host, ServerId(server), servers, kHosts)) ? 1 : 0;
+    near +=
+        IsNear(AffinityFor(host, ServerId(server), servers, kHosts)) ? 1 : 0;
   }
   return near;
 }
@@ -43,7 +46,7 @@
     bool any = false;
     for (int j = 0; j < 4; ++j) {
       const ServerId server("server-" + std::to_string(j));
-      any |= IsNear(LikingFor(host, server, 4, kHosts));
+      any |= IsNear(AffinityFor(host, server, 4, kHosts));
     }
     without += any ? 0 : 1;
   }
@@ -55,9 +58,10 @@
 BOOST_AUTO_TEST_CASE(FewHostsUseAllServersNearlyAlike) {
   for (int i = 0; i < 12; ++i) {
     const ServerId server("server-" + std::to_string(i));
-    const Liking liking = LikingFor(EntryHostId("h"), server, 12, 8);
-    BOOST_TEST(liking.reluctance < 1.3);
-    BOOST_TEST(liking.alike == 0);
+    const ServerAffinity affinity =
+        AffinityFor(EntryHostId("h"), server, 12, 8);
+    BOOST_TEST(affinity.cost_factor < 1.3);
+    BOOST_TEST(affinity.expected_competitors == 0);
   }
 }
 
--- a/src/gateway/service_queue.cc
+++ b/src/gateway/service_queue.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "gateway/liking.h"
+#include "gateway/server_affinity.h"
 
 namespace gentianlb::gateway {
 
@@ -17,12 +17,12 @@
 
 schedule::ServerSpec ServiceQueue::SpecOf(const Service& service,
                                           const ServerEntry& entry,
-                                          const Liking& liking) const {
+                                          const ServerAffinity& affinity) const {
   schedule::ServerSpec spec;
   spec.id = entry.id;
   spec.max_streams = entry.streams;
-  spec.reluctance = liking.reluctance;
-  spec.alike = liking.alike;
+  spec.reluctance = affinity.cost_factor;
+  spec.alike = affinity.expected_competitors;
   if (!service.engine) return spec;
   spec.models = service.engine->models;
   spec.prefill_tokens_per_second = guess_.prefill_tokens_per_second;
@@ -43,8 +43,9 @@
   std::vector<schedule::ServerSpec> specs;
   absl::flat_hash_map<ServerId, ServerEntry> known;
   for (const ServerEntry& entry : servers) {
-    const Liking liking = LikingFor(host_, entry.id, servers.size(), hosts);
-    specs.push_back(SpecOf(service, entry, liking));
+    const ServerAffinity affinity =
+        AffinityFor(host_, entry.id, servers.size(), hosts);
+    specs.push_back(SpecOf(service, entry, affinity));
     known.emplace(entry.id, entry);
   }
   known.swap(servers_);
--- a/src/gateway/service_queue.h
+++ b/src/gateway/service_queue.h
@@ -17,20 +17,20 @@
 
 namespace gentianlb::gateway {
 
-struct Liking;
+struct ServerAffinity;
 
 // What servers are taken for before their answers have shown it: the middle of
 // today's engines, which compute 112 to 157 prompt tokens in a millisecond and
 // need 3.4 to 3.6 ms for a step of one stream.
-struct ServerGuess {
+struct InitialServerSpeed {
   double prefill_tokens_per_second = 112000;
   double decode_tokens_per_second = 280;
-  bool operator==(const ServerGuess&) const = default;
+  bool operator==(const InitialServerSpeed&) const = default;
 };
 
 struct ServiceQueueOptions {
   schedule::DispatcherOptions dispatcher;
-  ServerGuess guess;
+  InitialServerSpeed guess;
   RetryOptions retries;
   EntryHostId host;
 };
@@ -55,7 +55,7 @@
   const ServerEntry* FindServer(const ServerId& id) const;
 
   // Free streams of all servers, less the requests that wait.
-  std::int16_t Room() const {
+  std::int16_t FreeCapacity() const {
     return static_cast<std::int16_t>(dispatcher_.FreeStreams() -
                                      static_cast<int>(dispatcher_.waiting()));
   }
@@ -72,9 +72,9 @@
 
  private:
   schedule::ServerSpec SpecOf(const Service& service, const ServerEntry& entry,
-                              const Liking& liking) const;
+                              const ServerAffinity& affinity) const;
 
-  const ServerGuess guess_;
+  const InitialServerSpeed guess_;
   const EntryHostId host_;
   schedule::Dispatcher dispatcher_;
   RetryBudget retries_;
--- a/src/gateway/early_requests.h
+++ b/src/gateway/startup_queue.h
@@ -5,8 +5,8 @@
 // bring some 30 requests to each host. Refused, they come back later and are
 // late; held that long, nobody notices.
 
-#ifndef GENTIANLB_GATEWAY_EARLY_REQUESTS_H_
-#define GENTIANLB_GATEWAY_EARLY_REQUESTS_H_
+#ifndef GENTIANLB_GATEWAY_STARTUP_QUEUE_H_
+#define GENTIANLB_GATEWAY_STARTUP_QUEUE_H_
 
 #include <functional>
 #include <memory>
@@ -20,42 +20,42 @@
 
 namespace gentianlb::gateway {
 
-class EarlyRequests {
+class StartupQueue {
  public:
   using Responder = std::shared_ptr<http::Responder>;
   using Accept = std::function<void(CallerRequest, Responder)>;
 
   // `accept` takes a request in the end, whether the host is ready or not.
-  EarlyRequests(TimerService* timers, std::function<absl::Time()> clock,
-                Accept accept)
+  StartupQueue(TimerService* timers, std::function<absl::Time()> clock,
+               Accept accept)
       : timers_(timers), clock_(std::move(clock)), accept_(std::move(accept)) {}
-  ~EarlyRequests() { timers_->Cancel(give_up_); }
-  EarlyRequests(const EarlyRequests&) = delete;
-  EarlyRequests& operator=(const EarlyRequests&) = delete;
+  ~StartupQueue() { timers_->Cancel(timeout_timer_); }
+  StartupQueue(const StartupQueue&) = delete;
+  StartupQueue& operator=(const StartupQueue&) = delete;
 
   // Until Release(), but not for long, and not many.
   void Hold(CallerRequest request, Responder responder) {
     // An objective of today's deployments is 150 ms and more; a table service
     // that has not answered after this time is away.
-    constexpr absl::Duration kLongest = absl::Milliseconds(120);
-    constexpr std::size_t kMost = 500;
-    if (held_.size() >= kMost || gave_up_) {
+    constexpr absl::Duration kMaxHoldTime = absl::Milliseconds(120);
+    constexpr std::size_t kMaxHeldRequests = 500;
+    if (held_.size() >= kMaxHeldRequests || timed_out_) {
       return accept_(std::move(request), std::move(responder));
     }
     held_.emplace_back(std::move(request), std::move(responder));
-    if (give_up_ != 0) return;
-    give_up_ = timers_->At(clock_() + kLongest, [this](absl::Time) {
-      gave_up_ = true;
+    if (timeout_timer_ != 0) return;
+    timeout_timer_ = timers_->At(clock_() + kMaxHoldTime, [this](absl::Time) {
+      timed_out_ = true;
       Release();
     });
   }
 
   // Passes on all that are held, in the order of their arrival.
   void Release() {
-    timers_->Cancel(give_up_);
-    std::vector<std::pair<CallerRequest, Responder>> taken;
-    taken.swap(held_);
-    for (auto& [request, responder] : taken) {
+    timers_->Cancel(timeout_timer_);
+    std::vector<std::pair<CallerRequest, Responder>> released;
+    released.swap(held_);
+    for (auto& [request, responder] : released) {
       accept_(std::move(request), std::move(responder));
     }
   }
@@ -67,10 +67,10 @@
   const std::function<absl::Time()> clock_;
   const Accept accept_;
   std::vector<std::pair<CallerRequest, Responder>> held_;
-  TimerId give_up_ = 0;
-  bool gave_up_ = false;
+  TimerId timeout_timer_ = 0;
+  bool timed_out_ = false;
 };
 
 }  // namespace gentianlb::gateway
 
-#endif  // GENTIANLB_GATEWAY_EARLY_REQUESTS_H_
+#endif  // GENTIANLB_GATEWAY_STARTUP_QUEUE_H_
--- a/src/gateway/early_requests_test.cc
+++ b/src/gateway/startup_queue_test.cc
@@ -1,4 +1,4 @@
-#include "gateway/early_requests.h"
+#include "gateway/startup_queue.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -7,18 +7,18 @@
 
 struct Fixture {
   Fixture()
-      : early(
+      : queue(
             &timers, [this] { return now; },
-            [this](CallerRequest request, EarlyRequests::Responder) {
+            [this](CallerRequest request, StartupQueue::Responder) {
               accepted += request.id.str();
             }) {}
 
   void Hold(const char* id) {
     CallerRequest request;
     request.id = RequestId(id);
-    early.Hold(std::move(request), nullptr);
+    queue.Hold(std::move(request), nullptr);
   }
-  void Pass(absl::Duration span) {
+  void AdvanceTime(absl::Duration span) {
     now += span;
     timers.Advance(now);
   }
@@ -26,7 +26,7 @@
   TimerService timers;
   absl::Time now = absl::UnixEpoch() + absl::Hours(1);
   std::string accepted;
-  EarlyRequests early;
+  StartupQueue queue;
 };
 
 // All hosts were restarted, and callers come before the configuration has. They
@@ -34,18 +34,18 @@
 BOOST_FIXTURE_TEST_CASE(HeldUntilTheHostKnowsEnough, Fixture) {
   Hold("a");
   Hold("b");
-  Pass(absl::Milliseconds(20));
+  AdvanceTime(absl::Milliseconds(20));
   BOOST_TEST(accepted == "");
-  early.Release();
+  queue.Release();
   BOOST_TEST(accepted == "ab");
-  Pass(absl::Seconds(1));
+  AdvanceTime(absl::Seconds(1));
   BOOST_TEST(accepted == "ab");
 }
 
 // The table service is away. Nobody is kept waiting for it.
 BOOST_FIXTURE_TEST_CASE(NobodyWaitsForLong, Fixture) {
   Hold("a");
-  Pass(absl::Milliseconds(200));
+  AdvanceTime(absl::Milliseconds(200));
   BOOST_TEST(accepted == "a");
   Hold("b");
   BOOST_TEST(accepted == "ab");
--- a/src/gateway/service_return.h
+++ b/src/gateway/table_recovery.h
@@ -7,8 +7,8 @@
 // removals would wait without end, and requests go to servers that have long
 // announced to leave. So only who noticed it tells.
 
-#ifndef GENTIANLB_GATEWAY_SERVICE_RETURN_H_
-#define GENTIANLB_GATEWAY_SERVICE_RETURN_H_
+#ifndef GENTIANLB_GATEWAY_TABLE_RECOVERY_H_
+#define GENTIANLB_GATEWAY_TABLE_RECOVERY_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -18,24 +18,24 @@
 
 namespace gentianlb::gateway {
 
-class ServiceReturn {
+class TableRecovery {
  public:
   // This host's own calls are answered again.
-  void Noticed(absl::Time now) {
+  void OnRecovered(absl::Time now) {
     noticed_ = now;
-    Heard(0, now);
+    OnPeerReport(0, now);
   }
   // Another host noticed it `milliseconds` ago; below 0: none did lately.
-  void Heard(std::int32_t milliseconds, absl::Time now) {
+  void OnPeerReport(std::int32_t milliseconds, absl::Time now) {
     if (milliseconds < 0) return;
     latest_ = std::max(latest_, now - absl::Milliseconds(milliseconds));
   }
 
   absl::Time latest() const { return latest_; }
-  // For Heard() of others.
-  std::int32_t ToTell(absl::Time now) const {
+  // For OnPeerReport() of others.
+  std::int32_t AgeToPublish(absl::Time now) const {
     const absl::Duration since = now - noticed_;
-    if (since >= kReturnTime) return -1;
+    if (since >= kReregistrationTime) return -1;
     return static_cast<std::int32_t>(absl::ToInt64Milliseconds(since));
   }
 
@@ -46,4 +46,4 @@
 
 }  // namespace gentianlb::gateway
 
-#endif  // GENTIANLB_GATEWAY_SERVICE_RETURN_H_
+#endif  // GENTIANLB_GATEWAY_TABLE_RECOVERY_H_
--- a/src/gateway/unheard_use.h
+++ b/src/gateway/unreported_use.h
@@ -9,8 +9,8 @@
 // refused anew each time they come back. Counting on the others' doing the
 // same, each stops when what is left is used up by all together.
 
-#ifndef GENTIANLB_GATEWAY_UNHEARD_USE_H_
-#define GENTIANLB_GATEWAY_UNHEARD_USE_H_
+#ifndef GENTIANLB_GATEWAY_UNREPORTED_USE_H_
+#define GENTIANLB_GATEWAY_UNREPORTED_USE_H_
 
 #include <cmath>
 
@@ -18,19 +18,19 @@
 
 namespace gentianlb::gateway {
 
-class UnheardUse {
+class UnreportedUse {
  public:
   // The others' callers ask for so many tokens a second; what is let through is
   // heard of after `delay` in the mean. Zero: nobody is heard, and whoever is
   // there has a part of the limit of their own.
-  void Expect(double tokens_per_second, absl::Duration delay) {
+  void SetDemand(double tokens_per_second, absl::Duration delay) {
     tokens_per_second_ = tokens_per_second;
     delay_ = delay;
     if (delay <= absl::ZeroDuration()) tokens_ = 0;
   }
 
   // `span` passes, in which the limit is `open` to all or to nobody.
-  void Pass(absl::Duration span, bool open) {
+  void Advance(absl::Duration span, bool open) {
     if (delay_ <= absl::ZeroDuration()) return;
     const double kept = std::exp(-absl::FDivDuration(span, delay_));
     const double lasting = tokens_per_second_ * absl::ToDoubleSeconds(delay_);
@@ -47,4 +47,4 @@
 
 }  // namespace gentianlb::gateway
 
-#endif  // GENTIANLB_GATEWAY_UNHEARD_USE_H_
+#endif  // GENTIANLB_GATEWAY_UNREPORTED_USE_H_
--- a/src/gateway/use_counters.h
+++ b/src/gateway/use_counters.h
@@ -14,19 +14,19 @@
 
 namespace gentianlb::gateway {
 
-struct UseGrowth {
+struct UseDelta {
   NameHash workspace = 0;
-  std::uint64_t let_through = 0;
-  std::uint64_t given_back = 0;
-  auto operator<=>(const UseGrowth&) const = default;
+  std::uint64_t admitted = 0;
+  std::uint64_t refunded = 0;
+  auto operator<=>(const UseDelta&) const = default;
 };
 
 // What the first message of a sender counts for. It may have told others of
 // the same, or nobody: then it counts in full, or what hosts overdrew while
 // they heard of nobody would never be paid back.
 enum class FirstMessage {
-  kNothing,  // It only says from where to count.
-  kUnheard,  // What the host let through since it heard of the others last.
+  kIgnore,      // It only says from where to count.
+  kUnreported,  // What the host let through since it heard of the others last.
   kAll,
 };
 
@@ -34,40 +34,40 @@
  public:
   // What has grown since the last message; a sender that began anew has counted
   // from 0.
-  std::vector<UseGrowth> Take(std::int64_t incarnation,
-                              const std::vector<WorkspaceUse>& uses,
-                              FirstMessage counts = FirstMessage::kNothing) {
+  std::vector<UseDelta> Update(std::int64_t incarnation,
+                               const std::vector<WorkspaceUse>& uses,
+                               FirstMessage counting = FirstMessage::kIgnore) {
     const bool first = incarnation_ == 0;
-    if (incarnation != incarnation_) told_.clear();
+    if (incarnation != incarnation_) last_reported_.clear();
     incarnation_ = incarnation;
-    std::vector<UseGrowth> grown;
+    std::vector<UseDelta> deltas;
     for (const WorkspaceUse& use : uses) {
-      WorkspaceUse& before = told_[use.workspace];
-      UseGrowth growth{use.workspace,
-                       Growth(before.let_through, use.let_through),
-                       Growth(before.given_back, use.given_back)};
-      before = use;
-      if (first) growth = First(growth, use, counts);
-      const bool none = growth.let_through == 0 && growth.given_back == 0;
-      if (!none) grown.push_back(growth);
+      WorkspaceUse& previous = last_reported_[use.workspace];
+      UseDelta delta{use.workspace,
+                     Increase(previous.let_through, use.let_through),
+                     Increase(previous.given_back, use.given_back)};
+      previous = use;
+      if (first) delta = CountFirst(delta, use, counting);
+      const bool unchanged = delta.admitted == 0 && delta.refunded == 0;
+      if (!unchanged) deltas.push_back(delta);
     }
-    return grown;
+    return deltas;
   }
 
  private:
-  static UseGrowth First(const UseGrowth& all, const WorkspaceUse& use,
-                         FirstMessage counts) {
-    if (counts == FirstMessage::kAll) return all;
-    if (counts == FirstMessage::kNothing) return {use.workspace};
+  static UseDelta CountFirst(const UseDelta& increase, const WorkspaceUse& use,
+                             FirstMessage counting) {
+    if (counting == FirstMessage::kAll) return increase;
+    if (counting == FirstMessage::kIgnore) return {use.workspace};
     return {use.workspace, static_cast<std::uint64_t>(use.unheard)};
   }
 
-  static std::uint64_t Growth(std::uint64_t before, std::uint64_t now) {
-    return now - std::min(now, before);
+  static std::uint64_t Increase(std::uint64_t previous, std::uint64_t current) {
+    return current - std::min(current, previous);
   }
 
   std::int64_t incarnation_ = 0;
-  absl::flat_hash_map<NameHash, WorkspaceUse> told_;
+  absl::flat_hash_map<NameHash, WorkspaceUse> last_reported_;
 };
 
 }  // namespace gentianlb::gateway
