--- a/src/gateway/configuration.h
+++ b/src/gateway/configuration.h
@@ -1,6 +1,6 @@
 // The operators' configuration as the gateway uses it: routes, services,
-// workspaces and limits. Immutable once built; a request keeps the version it
-// was first looked at with until its end.
+// workspaces and limits. Immutable once built. Each request uses the version
+// that was in force when the request arrived.
 
 #ifndef GENTIANLB_GATEWAY_CONFIGURATION_H_
 #define GENTIANLB_GATEWAY_CONFIGURATION_H_
@@ -15,14 +15,14 @@
 
 namespace gentianlb::gateway {
 
-// What may be done with a request whose outcome is not known.
+// How the gateway may retry a request whose outcome is unknown.
 enum class RouteKind {
-  kIdempotent,     // Run again.
-  kNonIdempotent,  // Nothing: it may have run.
-  kStream,         // Gone on with, where the route is resumable; else nothing.
+  kIdempotent,     // The request may run again.
+  kNonIdempotent,  // No retry, since the request may have run.
+  kStream,         // Resumed if the route is resumable; otherwise no retry.
 };
 
-// A part of a route's requests that one service gets.
+// A service of a route and its weight in the route's traffic split.
 struct ServiceShare {
   ServiceId service;
   double weight = 1;
@@ -32,46 +32,46 @@
 struct Route {
   std::string name;
   std::string host;
-  std::string prefix;  // Begins and ends with a slash.
+  std::string prefix;  // Path prefix; begins and ends with a slash.
   RouteKind kind = RouteKind::kNonIdempotent;
   bool resumable = false;
   bool needs_key = true;
   Tier tier;
   int max_attempts = 1;      // Servers that one request may be sent to.
-  absl::Duration timeout;    // Longest time to the end of the answer.
-  absl::Duration objective;  // To the answer, or a stream's first event.
+  absl::Duration timeout;    // From arrival to the end of the response.
+  absl::Duration objective;  // To the response, or a stream's first event.
   std::vector<ServiceShare> services;
   bool operator==(const Route&) const = default;
 };
 
-// What the engines of a service are, as operators state it.
+// The inference engines of a service, as configured by the operators.
 struct EngineSpec {
-  int streams = 1;             // That run at once on one server.
-  std::int64_t kv_tokens = 0;  // Memory of one server.
-  int tokens_per_event = 1;    // Of a stream.
+  int streams = 1;             // Concurrent streams per server.
+  std::int64_t kv_tokens = 0;  // KV cache size of one server.
+  int tokens_per_event = 1;    // Tokens in one event of a stream.
   std::vector<ModelId> models;
   bool operator==(const EngineSpec&) const = default;
 };
 
 struct Service {
   ServiceId id;
-  int max_connections = 0;  // To one server, from all hosts; 0: not bounded.
-  std::optional<EngineSpec> engine;  // None: a plain service.
+  int max_connections = 0;  // To one server, from all hosts; 0: unlimited.
+  std::optional<EngineSpec> engine;  // Unset for a plain service.
   bool operator==(const Service&) const = default;
 };
 
-// Tokens that a workspace may use over all hosts.
+// The token limit of a workspace, shared by all entry hosts.
 struct Quota {
-  double tokens_per_second = 0;  // 0: no limit.
+  double tokens_per_second = 0;  // 0: unlimited.
   double burst_tokens = 0;
-  int tokens_without_count = 1;  // For a request that doesn't tell its tokens.
+  int tokens_without_count = 1;  // Charged to a request without a token count.
   bool operator==(const Quota&) const = default;
 };
 
 struct Workspace {
   WorkspaceId id;
   std::vector<std::string> keys;
-  std::optional<Tier> tier;  // Orders workspaces before routes are compared.
+  std::optional<Tier> tier;  // Takes precedence over the routes' tiers.
   Quota quota;
   bool operator==(const Workspace&) const = default;
 };
--- a/src/gateway/directory.cc
+++ b/src/gateway/directory.cc
@@ -67,7 +67,7 @@
     if (registration.entry.service == service)
       servers.push_back(registration.entry);
   }
-  // The table has no order; decisions must not depend on its hashing.
+  // Sorted, because decisions must not depend on the order of the hash map.
   std::sort(
       servers.begin(), servers.end(),
       [](const ServerEntry& a, const ServerEntry& b) { return a.id < b.id; });
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -1,11 +1,11 @@
-// The backend servers that may be sent to, as their registrations tell.
+// The registered backend servers of all services.
 //
-// A registration lapses when its server has not renewed it, and that also
-// happens to servers that are well while the table service is away: they can't
-// renew. Taken at its word, the list would be empty in the very moment the
-// service is back, and every caller refused. One would notice a burst of
-// refusals just after an outage. So a removal that comes shortly after an
-// outage waits until the server has had time to register again.
+// A server's registration expires unless the server renews it, and servers
+// can't renew while the table service is unavailable. When the service
+// recovers, it therefore reports healthy servers as removed. Removing them at
+// once would leave the directory empty and every request refused until the
+// servers have registered again. So a removal shortly after an outage is
+// delayed until servers have had time to register again.
 
 #ifndef GENTIANLB_GATEWAY_DIRECTORY_H_
 #define GENTIANLB_GATEWAY_DIRECTORY_H_
@@ -21,29 +21,32 @@
 
 namespace gentianlb::gateway {
 
-// Servers that live and reach the table service are registered again within
-// about two seconds of its return, by the platform's promise.
+// The platform guarantees that healthy servers register again within about two
+// seconds of the table service's recovery.
 inline constexpr absl::Duration kReregistrationTime = absl::Seconds(2);
 
 class Directory {
  public:
-  // A registration under `key`; none when it was removed or names no server.
-  // True when the servers that may be used have changed.
+  // Sets or replaces the registration under `key`. An empty `entry` means that
+  // the row was removed or is not a valid registration. Returns true if the
+  // registrations have changed.
   bool Update(const std::string& key, const std::optional<ServerEntry>& entry,
               absl::Time now);
 
-  // The whole list: what it leaves out was removed.
+  // Replaces all registrations; those that `entries` lacks are removed. Returns
+  // true if the registrations have changed.
   bool Replace(const std::vector<std::pair<std::string, ServerEntry>>& entries,
                absl::Time now);
 
-  // The table service answers again after an outage.
+  // Records that the table service recovered from an outage at `at`.
   void OnTableRecovered(absl::Time at) {
     recovered_at_ = std::max(recovered_at_, at);
   }
 
-  // Removes what has waited long enough; true when anything was.
+  // Removes registrations whose delay has passed. Returns true if there was
+  // one.
   bool Expire(absl::Time now);
-  // When Expire() has something to do; InfiniteFuture() if never.
+  // Returns the time of the next delayed removal; InfiniteFuture() if none.
   absl::Time NextExpiry() const;
 
   std::vector<ServerEntry> ServersOf(const ServiceId& service) const;
--- a/src/gateway/drain_plan_test.cc
+++ b/src/gateway/drain_plan_test.cc
@@ -7,7 +7,7 @@
 
 const absl::Time began = absl::UnixEpoch() + absl::Hours(1);
 
-BOOST_AUTO_TEST_CASE(StepsComeInOrderForAnyGrace) {
+BOOST_AUTO_TEST_CASE(StepsAreOrderedForAnyGracePeriod) {
   for (const int seconds : {1, 2, 4, 8, 30, 600}) {
     const DrainPlan plan = PlanDrain(began, absl::Seconds(seconds));
     BOOST_TEST((plan.close_idle_from > began));
@@ -18,14 +18,14 @@
   }
 }
 
-// A long stream keeps the process alive to the end of its grace. A call that
-// comes in its last moments on a kept connection was passed on to a server and
-// cut when the process ended; its caller could not tell whether it had run.
-BOOST_AUTO_TEST_CASE(ACallInTheLastMomentsIsRefusedNotCut) {
+// A long stream keeps the process alive to the end of its grace period. A call
+// that arrived at the last moment on a kept connection was forwarded and then
+// aborted by the exit, so its caller could not know whether it had run.
+BOOST_AUTO_TEST_CASE(ALateCallIsRefusedNotAborted) {
   const DrainPlan plan = PlanDrain(began, absl::Seconds(8));
-  const absl::Time late = began + absl::Milliseconds(7590);
-  BOOST_TEST((late >= plan.no_requests_from));
-  // What is taken just before has the time that a call may need.
+  const absl::Time late_arrival = began + absl::Milliseconds(7590);
+  BOOST_TEST((late_arrival >= plan.no_requests_from));
+  // A request accepted just before has the time that a call may need.
   BOOST_TEST((plan.end - plan.no_requests_from >= absl::Milliseconds(1200)));
 }
 
--- a/src/gateway/event_splitter.cc
+++ b/src/gateway/event_splitter.cc
@@ -9,7 +9,7 @@
 constexpr std::string_view kEventBoundary = "\n\n";
 constexpr std::string_view kIdField = "id:";
 
-// The number in the event's "id" line, if it has one.
+// Returns the number in the event's "id" line, if it has one.
 std::optional<std::int64_t> EventId(std::string_view event) {
   std::size_t start = 0;
   while (start < event.size()) {
@@ -31,7 +31,7 @@
 }  // namespace
 
 std::string EventSplitter::Feed(std::string_view bytes) {
-  // The boundary may lie across two blocks.
+  // The boundary may span two blocks of bytes.
   const std::size_t searched = partial_.empty() ? 0 : partial_.size() - 1;
   partial_.append(bytes);
   std::string complete;
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -1,9 +1,9 @@
-// Cuts the bytes of an event stream into whole events.
+// Splits the bytes of an event stream into complete events.
 //
-// A server may break off in the middle of an event. Passed on as it comes, the
-// caller would hold half an event, and the rest could not be joined to what
-// another server sends on: a piece would be missing or stand twice. So only
-// whole events go out, and the number of the last one tells where to go on.
+// A server may fail in the middle of an event. If bytes were relayed as they
+// arrive, the caller would hold a partial event that can't be joined to the
+// stream of another server: bytes would be missing or duplicated. So only
+// complete events are relayed, and the stream resumes after the last one's id.
 
 #ifndef GENTIANLB_GATEWAY_EVENT_SPLITTER_H_
 #define GENTIANLB_GATEWAY_EVENT_SPLITTER_H_
@@ -16,25 +16,25 @@
 
 class EventSplitter {
  public:
-  // Events up to number `last_event` are known to the caller and left out.
+  // Events with an id up to `last_event` are dropped: the caller has them.
   explicit EventSplitter(std::int64_t last_event) : last_event_(last_event) {}
 
-  // Takes the next bytes; returns the whole events that they complete.
+  // Appends bytes. Returns the new events that they complete.
   std::string Feed(std::string_view bytes);
 
-  // Forgets a half event: another server goes on after the last whole one.
+  // Drops a partial event before another server resumes the stream.
   void DiscardPartial() { partial_.clear(); }
 
-  // What is left after the last whole event, once the stream has ended.
+  // Returns the bytes after the last complete event.
   const std::string& partial() const { return partial_; }
 
-  // The highest number seen.
+  // Returns the highest event id received.
   std::int64_t last_event() const { return last_event_; }
-  // Whole events passed on.
+  // Returns the number of events returned by Feed().
   int event_count() const { return event_count_; }
 
  private:
-  // Whether the event is new; notes its number.
+  // Records the event's id. Returns false if the caller has the event.
   bool RecordIfNew(std::string_view event);
 
   std::string partial_;
--- a/src/gateway/event_splitter_test.cc
+++ b/src/gateway/event_splitter_test.cc
@@ -5,7 +5,7 @@
 namespace gentianlb::gateway {
 namespace {
 
-BOOST_AUTO_TEST_CASE(WholeEventsPassInOrder) {
+BOOST_AUTO_TEST_CASE(CompleteEventsAreReturnedInOrder) {
   EventSplitter splitter(0);
   BOOST_TEST(splitter.Feed("id: 1\ndata: a\n\nid: 2\nda") ==
              "id: 1\ndata: a\n\n");
@@ -16,10 +16,10 @@
   BOOST_TEST(splitter.partial().empty());
 }
 
-// A server dies in the middle of its third event and another one goes on after
-// the second. The caller must see the third once and whole, not the first half
-// followed by the whole.
-BOOST_AUTO_TEST_CASE(AHalfEventIsNotJoinedToAnotherServersStream) {
+// A server fails in the middle of its third event and another one resumes after
+// the second. The caller must receive the third event once and complete, not
+// its first half followed by all of it.
+BOOST_AUTO_TEST_CASE(APartialEventIsDroppedOnRestart) {
   EventSplitter splitter(0);
   splitter.Feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c");
   BOOST_TEST(splitter.last_event() == 2);
@@ -27,23 +27,23 @@
   BOOST_TEST(splitter.Feed("id: 3\ndata: cc\n\n") == "id: 3\ndata: cc\n\n");
 }
 
-// The second server begins one event too early, or from the start. What the
-// caller has already must not come twice.
-BOOST_AUTO_TEST_CASE(EventsThatTheCallerHasAreLeftOut) {
+// The second server resumes one event too early, or from the start. Events that
+// the caller has must not be sent twice.
+BOOST_AUTO_TEST_CASE(EventsThatTheCallerHasAreDropped) {
   EventSplitter splitter(2);
   BOOST_TEST(splitter.Feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\n\n") ==
              "id: 3\n\n");
   BOOST_TEST(splitter.event_count() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(EventsWithoutANumberPass) {
+BOOST_AUTO_TEST_CASE(EventsWithoutAnIdAreKept) {
   EventSplitter splitter(5);
   BOOST_TEST(splitter.Feed("data: x\n\nid: six\n\n") ==
              "data: x\n\nid: six\n\n");
   BOOST_TEST(splitter.last_event() == 5);
 }
 
-BOOST_AUTO_TEST_CASE(OtherLinesMayStandBeforeTheNumber) {
+BOOST_AUTO_TEST_CASE(OtherFieldsMayPrecedeTheId) {
   EventSplitter splitter(0);
   splitter.Feed("weight-versions: 4\nid:7\ndata: x\n\n");
   BOOST_TEST(splitter.last_event() == 7);
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -1,4 +1,4 @@
-// One request of a caller, from its arrival to the end of its answer.
+// The state of one request, from its arrival to the end of its response.
 
 #ifndef GENTIANLB_GATEWAY_EXCHANGE_H_
 #define GENTIANLB_GATEWAY_EXCHANGE_H_
@@ -17,14 +17,14 @@
 
 namespace gentianlb::gateway {
 
-// Names an exchange on this host.
+// Identifies an exchange on this host.
 using ExchangeId = std::uint64_t;
 
-// One sending of the request to a server.
+// One attempt to have a server run the request.
 struct Attempt {
-  RequestId dispatch_id;  // What the dispatcher calls it; empty: none is open.
-  std::optional<ServerEntry> server;  // Once granted.
-  http::TransferId transfer = 0;      // While it is under way.
+  RequestId dispatch_id;  // The dispatcher's id; empty if not dispatched.
+  std::optional<ServerEntry> server;  // Set once the dispatcher granted one.
+  http::TransferId transfer = 0;      // 0 unless the transfer is in progress.
   ResponseHead head;
   bool head_received = false;
   bool first_event_reported = false;  // To the dispatcher.
@@ -35,7 +35,7 @@
   std::shared_ptr<const CallerRequest> request;
   std::shared_ptr<http::Responder> responder;
 
-  // The version of the configuration that holds for it to its end.
+  // The configuration version that this request uses to its end.
   std::shared_ptr<const RouteIndex> index;
   const Route* route = nullptr;
   const Workspace* workspace = nullptr;  // Null on a route without keys.
@@ -43,29 +43,29 @@
   Tier tier;
 
   absl::Time arrival;
-  absl::Time deadline;  // The caller's or the route's, whichever is sooner.
+  absl::Time deadline;  // The earlier of the caller's and the route's.
   TimerId deadline_timer = 0;
 
-  double quota_tokens = 0;  // Of its workspace's limit, until it is sent.
+  double quota_tokens = 0;  // Taken from the workspace's limit; 0 once sent.
 
   Attempt attempt;
-  int attempts = 0;           // Sent to a server, whatever came of it.
-  int shed_attempts = 0;      // Of them, certainly not run.
-  bool may_have_run = false;  // One of the earlier ones.
+  int attempts = 0;           // Attempts sent to a server.
+  int shed_attempts = 0;      // Attempts that the server did not run.
+  bool may_have_run = false;  // An earlier attempt may have run.
 
-  std::string body;  // Of a plain answer, until it is whole.
+  std::string body;  // Of a plain response, until it is complete.
   EventSplitter splitter{0};
-  bool response_started = false;  // The caller has got the head of the answer.
+  bool response_started = false;  // The response's head was sent to the caller.
   absl::Time first_event = absl::InfinitePast();
 
-  // 0 for a plain call.
+  // Returns 0 for a plain call.
   int prompt_tokens() const {
     return request->prompt ? request->prompt->prompt_tokens : 0;
   }
 
   bool is_stream() const { return route->kind == RouteKind::kStream; }
 
-  // Whether it may be sent again although the last sending may have run.
+  // Returns whether a retry is allowed when an earlier attempt may have run.
   bool safe_to_retry() const {
     return route->kind == RouteKind::kIdempotent ||
            (is_stream() && route->resumable);
--- a/src/gateway/startup_queue.h
+++ b/src/gateway/startup_queue.h
@@ -1,9 +1,9 @@
-// Requests that come before the host knows a configuration and servers.
+// Holds requests that arrive before the host has its configuration and servers.
 //
-// Load pattern: all hosts are killed and restarted. Their callers come back in
-// the same moment, and the first 20 ms, until the table service has answered,
-// bring some 30 requests to each host. Refused, they come back later and are
-// late; held that long, nobody notices.
+// Load pattern: all hosts are killed and restarted. Their callers reconnect at
+// once, and about 30 requests reach each host in the 20 ms until the table
+// service has answered. Refused callers would retry too late; a delay of 20 ms
+// is not noticeable.
 
 #ifndef GENTIANLB_GATEWAY_STARTUP_QUEUE_H_
 #define GENTIANLB_GATEWAY_STARTUP_QUEUE_H_
@@ -25,7 +25,7 @@
   using Responder = std::shared_ptr<http::Responder>;
   using Accept = std::function<void(CallerRequest, Responder)>;
 
-  // `accept` takes a request in the end, whether the host is ready or not.
+  // `accept` receives every request in the end, even if the host is not ready.
   StartupQueue(TimerService* timers, std::function<absl::Time()> clock,
                Accept accept)
       : timers_(timers), clock_(std::move(clock)), accept_(std::move(accept)) {}
@@ -33,10 +33,11 @@
   StartupQueue(const StartupQueue&) = delete;
   StartupQueue& operator=(const StartupQueue&) = delete;
 
-  // Until Release(), but not for long, and not many.
+  // Holds the request until Release(), or until kMaxHoldTime after the first
+  // one. Passes it on at once if the queue is full or has timed out.
   void Hold(CallerRequest request, Responder responder) {
-    // An objective of today's deployments is 150 ms and more; a table service
-    // that has not answered after this time is away.
+    // Latency objectives in current deployments are 150 ms and more. A table
+    // service without a response after this time is unavailable.
     constexpr absl::Duration kMaxHoldTime = absl::Milliseconds(120);
     constexpr std::size_t kMaxHeldRequests = 500;
     if (held_.size() >= kMaxHeldRequests || timed_out_) {
@@ -50,7 +51,7 @@
     });
   }
 
-  // Passes on all that are held, in the order of their arrival.
+  // Passes on all held requests in the order of their arrival.
   void Release() {
     timers_->Cancel(timeout_timer_);
     std::vector<std::pair<CallerRequest, Responder>> released;
--- a/src/gateway/startup_queue_test.cc
+++ b/src/gateway/startup_queue_test.cc
@@ -29,9 +29,9 @@
   StartupQueue queue;
 };
 
-// All hosts were restarted, and callers come before the configuration has. They
-// are served in order once it is there.
-BOOST_FIXTURE_TEST_CASE(HeldUntilTheHostKnowsEnough, Fixture) {
+// All hosts restart, and requests arrive before the configuration does. They
+// must be served in order as soon as it has arrived.
+BOOST_FIXTURE_TEST_CASE(RequestsAreHeldUntilRelease, Fixture) {
   Hold("a");
   Hold("b");
   AdvanceTime(absl::Milliseconds(20));
@@ -42,8 +42,8 @@
   BOOST_TEST(accepted == "ab");
 }
 
-// The table service is away. Nobody is kept waiting for it.
-BOOST_FIXTURE_TEST_CASE(NobodyWaitsForLong, Fixture) {
+// The table service is unavailable. No request may be held beyond the timeout.
+BOOST_FIXTURE_TEST_CASE(HeldRequestsTimeOut, Fixture) {
   Hold("a");
   AdvanceTime(absl::Milliseconds(200));
   BOOST_TEST(accepted == "a");
