--- a/src/gateway/demand.cc
+++ b/src/gateway/demand.cc
@@ -7,25 +7,24 @@
 namespace gentianlb::gateway {
 namespace {
 
-// Demand that is counted for every host, as a part of all demand together, so
-// that the first callers at a quiet host find some.
-constexpr double kMinDemandShare = 0.1;
+// Demand assumed for all hosts together in addition to the actual demand, as a
+// fraction of it, so that the first callers at an idle host find a share.
+constexpr double kAssumedDemandFraction = 0.1;
 
-// How many periods pass until what a host lets through is heard of by another:
-// it waits for half a one before each of three messages, and those are not in
-// step.
+// Mean number of update periods until a peer knows of an admission, which waits
+// for half a period before each of three unsynchronized messages.
 constexpr double kReportDelayPeriods = 2;
 
 }  // namespace
 
 double Demand::LocalUse::TokensPerSecond(absl::Time now) const {
-  return asked.At(now) / absl::ToDoubleSeconds(kDemandWindow);
+  return requested.At(now) / absl::ToDoubleSeconds(kDemandWindow);
 }
 
 void Demand::RecordRequest(NameHash workspace, int rank, double tokens,
                            absl::Time now) {
   struct LocalUse& own = own_[workspace];
-  own.asked.Add(tokens, now);
+  own.requested.Add(tokens, now);
   own.by_rank[rank].tokens.Add(tokens, now);
   own.by_rank[rank].requests.Add(1, now);
 }
@@ -34,56 +33,57 @@
                                    absl::Time now) const {
   const auto own = own_.find(workspace);
   if (own == own_.end()) return 0;
-  double above = 0;
-  double requests = 0;
-  for (const auto& [other, asked] : own->second.by_rank) {
+  double higher_tokens = 0;
+  double higher_requests = 0;
+  for (const auto& [other, requested] : own->second.by_rank) {
     if (other >= rank) break;
-    above += asked.tokens.At(now);
-    requests += asked.requests.At(now);
+    higher_tokens += requested.tokens.At(now);
+    higher_requests += requested.requests.At(now);
   }
-  const auto same = own->second.by_rank.find(rank);
-  if (above <= 0 || same == own->second.by_rank.end()) return 0;
-  const double size = same->second.tokens.At(now) /
-                      std::max(1e-9, same->second.requests.At(now));
-  const double size_above = above / std::max(1e-9, requests);
-  return std::min(1.0, size / size_above) * above /
-         std::max(1.0, own->second.asked.At(now));
+  const auto rank_demand = own->second.by_rank.find(rank);
+  if (higher_tokens <= 0 || rank_demand == own->second.by_rank.end()) return 0;
+  const double mean_size = rank_demand->second.tokens.At(now) /
+                           std::max(1e-9, rank_demand->second.requests.At(now));
+  const double mean_higher_size =
+      higher_tokens / std::max(1e-9, higher_requests);
+  return std::min(1.0, mean_size / mean_higher_size) * higher_tokens /
+         std::max(1.0, own->second.requested.At(now));
 }
 
 void Demand::RecordAdmitted(NameHash workspace, double tokens) {
-  own_[workspace].let_through += static_cast<std::uint64_t>(tokens);
-  own_[workspace].unheard += tokens;
+  own_[workspace].admitted += static_cast<std::uint64_t>(tokens);
+  own_[workspace].unreported += tokens;
 }
 
 void Demand::RecordRefund(NameHash workspace, double tokens) {
-  own_[workspace].given_back += static_cast<std::uint64_t>(tokens);
+  own_[workspace].refunded += static_cast<std::uint64_t>(tokens);
 }
 
 std::vector<PeerUse> Demand::OnPeerUpdate(const FleetNews& others,
                                           absl::Time now) {
-  // Another aggregator counts from another start; and while this host was cut
-  // off, the others kept to their parts.
-  const bool same = others.sender.host == last_update_.sender.host &&
-                    now - last_update_at_ <= Believed(UpdatePeriod());
-  if (!same) counters_ = UseCounters();
-  std::vector<PeerUse> spent;
-  // What an aggregator tells that began since is new to this host, unless the
-  // host itself is.
-  const bool began_since =
+  // Each aggregator counts from its own start. While this host was partitioned,
+  // its peers kept to their shares.
+  const bool same_source = others.sender.host == last_update_.sender.host &&
+                           now - last_update_at_ <= Believed(UpdatePeriod());
+  if (!same_source) counters_ = UseCounters();
+  std::vector<PeerUse> uses;
+  // All counts of an aggregator that started after the last update are new to
+  // this host, unless the host itself has just started.
+  const bool aggregator_is_newer =
       last_update_at_ != absl::InfinitePast() &&
       now - last_update_at_ >= absl::Milliseconds(others.age_ms);
   const FirstMessage first =
-      began_since ? FirstMessage::kAll : FirstMessage::kIgnore;
-  for (auto& [workspace, own] : own_) own.unheard = 0;
-  for (const UseDelta& grown :
+      aggregator_is_newer ? FirstMessage::kAll : FirstMessage::kIgnore;
+  for (auto& [workspace, own] : own_) own.unreported = 0;
+  for (const UseDelta& delta :
        counters_.Update(others.incarnation, others.workspaces, first)) {
-    spent.push_back({grown.workspace, static_cast<double>(grown.admitted) -
-                                          static_cast<double>(grown.refunded)});
+    uses.push_back({delta.workspace, static_cast<double>(delta.admitted) -
+                                         static_cast<double>(delta.refunded)});
   }
   last_update_ = others;
   last_update_at_ = now;
   if (others.complete || others.hosts + 1 > hosts_) hosts_ = others.hosts + 1;
-  return spent;
+  return uses;
 }
 
 std::vector<WorkspaceUse> Demand::BuildUpdate(absl::Time now) {
@@ -92,13 +92,13 @@
     std::rotate(own.published.begin(), own.published.begin() + 1,
                 own.published.end());
     own.published.back() = own.TokensPerSecond(now);
-    // Quiet hosts are many where hosts are, and their parts next to nothing.
-    const bool quiet = own.published.back() == 0 && own.let_through == 0;
-    if (quiet && shares_.contains(workspace)) continue;
+    // Large fleets have many idle hosts, whose shares are close to zero.
+    const bool idle = own.published.back() == 0 && own.admitted == 0;
+    if (idle && shares_.contains(workspace)) continue;
     uses.push_back({workspace, static_cast<float>(own.published.back()),
-                    own.let_through, own.given_back,
+                    own.admitted, own.refunded,
                     static_cast<float>(LocalShare(workspace)), /*parts=*/1,
-                    static_cast<float>(own.unheard)});
+                    static_cast<float>(own.unreported)});
   }
   return uses;
 }
@@ -112,13 +112,13 @@
 }
 
 double Demand::ShareOfDemand(NameHash workspace) const {
-  const auto mine = own_.find(workspace);
-  const double own = mine == own_.end() ? 0 : mine->second.published.front();
+  const auto local = own_.find(workspace);
+  const double own = local == own_.end() ? 0 : local->second.published.front();
   double total = own;
   if (const WorkspaceUse* use = FindPeerUse(workspace)) {
     total += std::max(0.0F, use->tokens_per_second);
   }
-  const double floor = std::max(1.0, total) * kMinDemandShare / hosts_;
+  const double floor = std::max(1.0, total) * kAssumedDemandFraction / hosts_;
   return (own + floor) / (total + floor * hosts_);
 }
 
@@ -141,12 +141,12 @@
 double Demand::LocalShare(NameHash workspace) const {
   const auto agreed = shares_.find(workspace);
   if (agreed != shares_.end()) return agreed->second;
-  // Started anew: what the others leave, divided among those of whom nothing is
-  // known.
+  // After a restart: the limit without the peers' shares, divided among the
+  // hosts whose shares are unknown.
   const WorkspaceUse* use = FindPeerUse(workspace);
-  const double left = use == nullptr ? 1.0 : 1.0 - use->part;
-  const int known = use == nullptr ? 0 : use->parts;
-  return std::max(0.0, left) / std::max(1, hosts_ - known);
+  const double remaining = use == nullptr ? 1.0 : 1.0 - use->part;
+  const int known_shares = use == nullptr ? 0 : use->parts;
+  return std::max(0.0, remaining) / std::max(1, hosts_ - known_shares);
 }
 
 PeerDemand Demand::DemandOfPeers(NameHash workspace, absl::Time now) const {
@@ -160,7 +160,7 @@
 }
 
 double Demand::LimitShare(NameHash workspace, absl::Time now) const {
-  // Nothing is let through with no part at all.
+  // With a share of 0 no request would ever be admitted.
   constexpr double kMinShare = 0.001;
   if (AllHostsReachable(now)) return 1;
   double part = LocalShare(workspace);
--- a/src/gateway/demand.h
+++ b/src/gateway/demand.h
@@ -1,26 +1,26 @@
-// What the entry hosts know of each other's use of the workspaces' limits.
+// Shares the token limit of a workspace among the entry hosts.
 //
-// Load pattern: callers come to hosts unevenly, requests differ a hundredfold,
-// and one workspace may send many times its usual through a single host. A
-// fixed part of the limit for each host would refuse callers at one host while
-// the limit is far from used up. So hosts tell each other what they let
-// through, and each counts it against the whole limit; what several let through
-// before they hear of each other is paid back before anything else goes.
+// Load pattern: requests reach hosts unevenly and differ a hundredfold in size,
+// and one workspace may send many times its usual load through a single host.
+// With a fixed share for each host, one host would refuse requests while most
+// of the limit is unused. So hosts publish the tokens that they admit, and each
+// host charges them to the whole limit. Hosts that admit requests before they
+// receive each other's updates may overdraw the limit; the overdraft is paid
+// back before anything else is admitted.
 //
-// What the others let through comes merged, as aggregate.h tells. While some
-// are not heard, nobody knows what they let through. Each host has a part of
-// the limit, by what its callers asked for while all hosts were heard. Hosts
-// that hear each other go on counting together, against the sum of their parts;
-// one that hears nobody has its own. The sum stays at the limit however hosts
-// are cut off from each other; without this, each side would take the whole
-// limit for itself.
+// The peers' use arrives merged (see aggregate.h). The use of unreachable peers
+// is unknown. So each host has a share of the limit, computed from the demand
+// of its callers while all hosts were reachable. Hosts that reach each other
+// count together against the sum of their shares; a host that reaches no peer
+// has its own share. The shares add up to the limit however the hosts are
+// partitioned; without them each side would use the whole limit.
 //
-// When all hosts lose power at once, nobody's part is known any more. Until all
-// are heard again each has an equal one, and tells it, also of workspaces whose
-// callers have yet to come to it. Were it left out of the sum, hosts that hear
-// all but one of the others would each go on with their own, a two hundredth of
-// the limit, until that one is back: less than one request, and nearly all
-// callers are refused.
+// When all hosts lose power at once, no share is known. Until all hosts are
+// reachable again, each has an equal share and publishes it, also for
+// workspaces that have sent it no request yet. If such a share were missing
+// from the sum, hosts that reach all peers but one would each be held to their
+// own share, a two hundredth of the limit, until that peer is back: less than
+// one request, so that nearly all callers would be refused.
 
 #ifndef GENTIANLB_GATEWAY_DEMAND_H_
 #define GENTIANLB_GATEWAY_DEMAND_H_
@@ -40,8 +40,8 @@
 
 namespace gentianlb::gateway {
 
-// Tokens that another host has let through since it was heard last; below 0
-// where it gave back more.
+// Tokens that peers have admitted since their last update; negative if they
+// refunded more.
 struct PeerUse {
   NameHash workspace = 0;
   double tokens = 0;
@@ -50,79 +50,83 @@
 
 class Demand {
  public:
-  // A caller of this host asks for `tokens`, whatever comes of it.
+  // Records that a caller of this host requests `tokens`, admitted or not.
   void RecordRequest(NameHash workspace, int rank, double tokens,
                      absl::Time now);
-  // How much of a workspace's limit requests of `rank` have to leave, as a part
-  // of 1: the part of what callers of this host ask for that is more urgent,
-  // and less in proportion where requests of this rank are smaller in the mean.
-  // Small ones take little from the urgent, and hundreds of them would be
-  // refused for one large. The same for all of a rank: by its own size, the
-  // largest of a kind would be refused twice as often as the others.
+  // Returns the fraction of a workspace's burst that requests of `rank` must
+  // leave unused: the fraction of this host's demand that has a higher
+  // priority, reduced in proportion if requests of this rank are smaller on
+  // average. Small requests take little from larger ones, and hundreds of them
+  // would be refused to save one large request. The value is the same for all
+  // requests of a rank: by its own size, the largest of a kind would be refused
+  // twice as often as the others.
   double HigherPriorityShare(NameHash workspace, int rank,
                              absl::Time now) const;
-  // They were let through.
+  // Records that `tokens` of these were admitted.
   void RecordAdmitted(NameHash workspace, double tokens);
-  // Of these, what was not sent to any server after all.
+  // Records that `tokens` of the admitted ones were not sent to any server.
   void RecordRefund(NameHash workspace, double tokens);
 
-  // So many hosts are known, this one included, heard or not. Until all are
-  // heard, one that was just started must not take what may be others' parts.
+  // Raises the number of known hosts, this one included, reachable or not.
+  // Until all are reachable, a restarted host must not use the shares of its
+  // peers.
   void RaiseHostCount(int hosts) { hosts_ = std::max(hosts_, hosts); }
-  // What all other hosts do, as the zone's aggregator tells.
+  // Records the merged state of all peers, from the zone's aggregator. Returns
+  // the tokens that they have admitted since the last update.
   std::vector<PeerUse> OnPeerUpdate(const FleetNews& others, absl::Time now);
 
-  // This host's own, to be told to others each period.
+  // Returns this host's use for its next periodic update to peers.
   std::vector<WorkspaceUse> BuildUpdate(absl::Time now);
 
-  // Notes this host's parts of the limits of `limited` while all hosts are
-  // heard; to be called several times a second.
+  // Recomputes this host's shares, of the limits of `limited` too, if all hosts
+  // are reachable. Must be called several times a second.
   void UpdateShares(const std::vector<NameHash>& limited, absl::Time now);
 
-  // The part of the limit that the hosts which are heard have together, this
-  // one included; 1 when all are heard.
+  // Returns the sum of the shares of this host and its live peers; 1 if all
+  // hosts are reachable.
   double LimitShare(NameHash workspace, absl::Time now) const;
 
-  // What callers ask the others for that are heard; nothing while none is.
+  // Returns the demand at live peers; zero if there are none.
   PeerDemand DemandOfPeers(NameHash workspace, absl::Time now) const;
 
-  // All hosts, this one included, when they were last heard together, or are
-  // known.
+  // Returns the number of hosts, this one included, when all were last
+  // reachable, or the number known if that is higher.
   int hosts() const { return hosts_; }
-  // Whether all of them were heard lately.
+  // Returns whether the last update is current and covers all hosts.
   bool AllHostsReachable(absl::Time now) const;
 
  private:
   struct LocalUse {
-    // The memory of what callers ask for: long against the gaps between large
-    // requests, short against the seconds over which limits are checked.
+    // Long compared to the gaps between large requests, short compared to the
+    // seconds over which limits are checked.
     static constexpr absl::Duration kDemandWindow = absl::Seconds(3);
 
-    DecayingSum asked{kDemandWindow};  // Tokens.
+    DecayingSum requested{kDemandWindow};  // Tokens.
     struct RankDemand {
       DecayingSum tokens{kDemandWindow};
       DecayingSum requests{kDemandWindow};
     };
     std::map<int, RankDemand> by_rank;
-    std::uint64_t let_through = 0;
-    std::uint64_t given_back = 0;
-    double unheard = 0;  // Let through since the others were heard.
+    std::uint64_t admitted = 0;
+    std::uint64_t refunded = 0;
+    double unreported = 0;  // Admitted since the last update from peers.
     double TokensPerSecond(absl::Time now) const;
-    // PerSecond() as told before, the oldest first. What the others told is as
-    // old when it comes here. Were a host to set what it knows of itself now
-    // against it, each would take too large a part when callers press at once.
+    // TokensPerSecond() at the last updates, oldest first. The peers' demand is
+    // as old when it arrives. If a host compared it with its own current
+    // demand, each would compute too large a share when load rises everywhere.
     std::array<double, 4> published{};
   };
 
-  // Whether what the others told last still holds.
+  // Returns whether the last update from the peers is recent enough to use.
   bool IsLastUpdateCurrent(absl::Time now) const;
   absl::Duration UpdatePeriod() const {
     return absl::Milliseconds(last_update_.period_ms);
   }
-  // Null when they have told nothing of it.
+  // Returns null if the peers reported no use of the workspace.
   const WorkspaceUse* FindPeerUse(NameHash workspace) const;
-  // This host's own part.
+  // Returns this host's own share of the limit.
   double LocalShare(NameHash workspace) const;
+  // Returns this host's fraction of the demand of all hosts.
   double ShareOfDemand(NameHash workspace) const;
 
   std::map<NameHash, struct LocalUse> own_;
@@ -130,7 +134,7 @@
   absl::Time last_update_at_ = absl::InfinitePast();
   UseCounters counters_;
   int hosts_ = 1;
-  absl::flat_hash_map<NameHash, double> shares_;  // Own parts.
+  absl::flat_hash_map<NameHash, double> shares_;  // Of this host.
 };
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/messages.h
+++ b/src/gateway/messages.h
@@ -1,6 +1,6 @@
-// What passes between the gateway and the wire: a caller's request, what is
-// sent to a backend server, and what comes back. Whoever speaks a platform's
-// protocol fills these in; nothing here knows how they look on the wire.
+// The messages between the gateway and a platform's adapter: a caller's
+// request, a call of a backend server and the server's response. The adapter
+// translates them to and from the platform's protocol.
 
 #ifndef GENTIANLB_GATEWAY_MESSAGES_H_
 #define GENTIANLB_GATEWAY_MESSAGES_H_
@@ -22,88 +22,88 @@
 
 namespace gentianlb::gateway {
 
-// What a request asks of a model.
+// The part of a request that concerns a model.
 struct Prompt {
   ModelId model;
   int prompt_tokens = 0;
-  int max_output_tokens = 0;       // 0: not told.
+  int max_output_tokens = 0;       // 0: not stated.
   int expected_output_tokens = 0;  // The caller's estimate; 0: none.
-  // The prompt's parts in order, as depths: each hash stands for its part and
-  // all before it.
+  // The prompt's prefixes in order, as depths: each hash covers its part of the
+  // prompt and all parts before it.
   std::vector<schedule::PrefixMark> parts;
   bool operator==(const Prompt&) const = default;
 };
 
-// A request as its caller sent it, decoded.
+// A caller's request, decoded.
 struct CallerRequest {
-  RequestId id;  // The caller's own; each of its tries has another.
+  RequestId id;  // From the caller; each retry by the caller has another id.
   std::string method;
   std::string target;                 // Path and query, byte for byte.
   std::string host;                   // Without a port.
   std::string path;                   // Of `target`, not decoded.
-  std::vector<http::Header> headers;  // To be passed on as they are.
+  std::vector<http::Header> headers;  // Forwarded unchanged.
   std::string body;
-  std::string key;  // The workspace's; empty when none was sent.
-  absl::Duration time_left = absl::InfiniteDuration();  // By the caller.
+  std::string key;  // The workspace's API key; empty if none was sent.
+  absl::Duration time_left = absl::InfiniteDuration();  // Set by the caller.
   std::optional<Prompt> prompt;
-  std::int64_t last_event = 0;  // A resumed stream goes on after it; 0: whole.
+  std::int64_t last_event = 0;  // A stream resumes after this event; 0: start.
 };
 
-// A backend server that can be sent to. `started` tells a restarted one from
-// the one before under the same id.
+// A registered backend server. `started` distinguishes a restarted server from
+// its predecessor with the same id.
 struct ServerEntry {
   ServerId id;
   ServiceId service;
   ZoneId zone;
   settings::Endpoint address;
-  int streams = 1;           // Requests that it runs at once.
-  bool draining = false;     // Takes nothing new.
-  std::int64_t started = 0;  // Milliseconds since the epoch; 0: not told.
+  int streams = 1;           // Requests that it runs concurrently.
+  bool draining = false;     // Accepts no new requests.
+  std::int64_t started = 0;  // Milliseconds since the epoch; 0: not stated.
   bool operator==(const ServerEntry&) const = default;
 };
 
-// One sending of a request to one server.
+// One attempt of a request at one server.
 struct ServerCall {
   std::shared_ptr<const CallerRequest> request;
   ServerEntry server;
   WorkspaceId workspace;
   absl::Duration time_left;
-  std::int64_t last_event = 0;  // As in CallerRequest, of this sending.
+  std::int64_t last_event = 0;  // As in CallerRequest, for this attempt.
 };
 
-// The load of a server as it stood when it answered.
+// A server's load at the time of its response.
 struct ServerLoad {
   int running = 0;
   int waiting = 0;
   auto operator<=>(const ServerLoad&) const = default;
 };
 
-// The head of a server's answer.
+// The head of a server's response.
 struct ResponseHead {
   int status = 0;
-  std::vector<http::Header> headers;  // To be passed on to the caller.
-  bool matches_request = true;        // False: it answers another request.
-  bool signed_ = false;               // A server of the platform made it.
-  bool not_run = false;  // The server has not run the request, and never will.
-  bool wrong_server = false;  // Another server has this address now.
+  std::vector<http::Header> headers;  // Forwarded to the caller.
+  bool matches_request = true;        // False: it is for another request.
+  bool signed_ = false;               // Made by a server of the platform.
+  bool not_run = false;  // The server has not run the request and never will.
+  bool wrong_server = false;  // The address belongs to another server now.
   bool closing = false;       // The server is about to leave.
   std::optional<ServerLoad> load;
   bool operator==(const ResponseHead&) const = default;
 };
 
-// What comes back from one sending, in this order. After a head that is not
-// wanted nothing but the end follows.
+// Receives the response to one attempt, in this order. If the receiver rejects
+// the head, only on_end follows.
 struct CallSink {
   std::function<http::Reading(ResponseHead head)> on_head;
   std::function<void(std::string_view bytes)> on_data;
   std::function<void(http::TransferEnd end, std::string detail)> on_end;
 };
 
-// Sends requests to backend servers; fulfilled by the platform's adapter over
+// Sends requests to backend servers. Implemented by the platform's adapter over
 // HTTP, and by fakes in tests.
 struct ServerPort {
   std::function<http::TransferId(ServerCall call, CallSink sink)> send;
-  // Closes the connection, which stops the server's work.
+  // Closes the connection, which stops the server's work on the request.
   std::function<void(http::TransferId id)> cancel;
 };
 
--- a/src/gateway/quota.cc
+++ b/src/gateway/quota.cc
@@ -7,13 +7,13 @@
 namespace gentianlb::gateway {
 namespace {
 
-// The part of what may be let through at once that is given out. What several
-// hosts let through before they hear of each other, over three messages, comes
-// on top.
+// Fraction of a burst and its tolerance that the buckets hold. The tokens that
+// several hosts admit before three messages have carried their use to the
+// peers come on top.
 constexpr double kBurstShare = 0.5;
 
-// Steps in which the others' use is followed, and for how long at the most:
-// what was let through before then is heard of.
+// Step in which the peers' use is estimated, and the maximum time that it
+// covers: older use has been reported.
 constexpr absl::Duration kAdvanceStep = absl::Milliseconds(10);
 constexpr absl::Duration kMaxAdvance = absl::Seconds(1);
 
@@ -30,9 +30,9 @@
     Bucket& bucket = buckets_[name];
     bucket.quota = workspace.quota;
     ApplyShare(&bucket, now);
-    // Nobody knows what was used just before. Full after each restart, it would
-    // let a burst through on top of the limit; empty, it would refuse those who
-    // come back when all hosts were restarted.
+    // The use before a start is unknown. A full bucket would admit a burst on
+    // top of the limit after each restart; an empty one would refuse callers
+    // that retry after a restart of all hosts.
     if (is_new) bucket.tokens.Take(BurstCapacity(bucket.quota) / 2);
   }
   absl::erase_if(buckets_, [&](const auto& item) {
@@ -52,18 +52,18 @@
   const auto found = buckets_.find(workspace);
   if (found == buckets_.end()) return;
   Bucket& bucket = found->second;
-  Advance(&bucket, now);
+  AdvanceBucket(&bucket, now);
   bucket.peer_demand = peer_demand;
   bucket.unreported.SetDemand(peer_demand.tokens_per_second,
                               peer_demand.report_delay);
 }
 
-void Quotas::Advance(Bucket* bucket, absl::Time now) {
+void Quotas::AdvanceBucket(Bucket* bucket, absl::Time now) {
   absl::Time at = std::max(bucket->advanced_to, now - kMaxAdvance);
   while (at < now) {
     const absl::Duration step = std::min(kAdvanceStep, now - at);
     at += step;
-    bucket->tokens.Empty(at);  // Earns what is due.
+    bucket->tokens.Empty(at);  // Adds earned tokens.
     bucket->unreported.Advance(
         step, bucket->tokens.level() > bucket->unreported.tokens());
   }
@@ -73,7 +73,7 @@
 void Quotas::Charge(NameHash workspace, double tokens, absl::Time now) {
   const auto found = buckets_.find(workspace);
   if (found == buckets_.end()) return;
-  found->second.tokens.Empty(now);  // Earns what is due first.
+  found->second.tokens.Empty(now);  // Adds earned tokens first.
   found->second.tokens.Take(tokens);
 }
 
@@ -102,12 +102,12 @@
   const auto found = buckets_.find(workspace);
   if (found == buckets_.end()) return std::nullopt;
   Bucket& bucket = found->second;
-  Advance(&bucket, now);
+  AdvanceBucket(&bucket, now);
   const double reserved =
       reserved_share * BurstCapacity(bucket.quota) * bucket.share +
       bucket.unreported.tokens();
   if (bucket.tokens.level() <= reserved) {
-    // No sooner than it is known what the others let through.
+    // Not before the peers' use is known here.
     return std::max(bucket.tokens.UntilFilled(reserved),
                     bucket.peer_demand.report_delay);
   }
--- a/src/gateway/quota.h
+++ b/src/gateway/quota.h
@@ -1,7 +1,8 @@
-// The tokens that workspaces may use, over all entry hosts.
+// Token limits of workspaces over all entry hosts.
 //
-// Load pattern: one workspace sends many times its usual. Without a limit the
-// others wait behind it. demand.h tells how the hosts keep to it together.
+// Load pattern: one workspace sends many times its usual load. Without a limit
+// the requests of other workspaces wait behind it. demand.h describes how the
+// hosts share a limit.
 
 #ifndef GENTIANLB_GATEWAY_QUOTA_H_
 #define GENTIANLB_GATEWAY_QUOTA_H_
@@ -18,45 +19,46 @@
 
 namespace gentianlb::gateway {
 
-// What is known of a workspace's callers at the other hosts.
+// The demand for a workspace's limit at the peers.
 struct PeerDemand {
-  double tokens_per_second = 0;  // That they ask for.
-  absl::Duration report_delay;   // Until their use is heard of here.
+  double tokens_per_second = 0;  // Requested by their callers.
+  absl::Duration report_delay;   // Until their use is known here.
   bool operator==(const PeerDemand&) const = default;
 };
 
+// Enforces the limits of workspaces on this host. Has a token bucket for each.
 class Quotas {
  public:
-  // Operators tolerate `tolerance_tokens` above each limit. A small workspace
-  // needs them: one of its requests may be larger than its burst.
+  // Operators tolerate `tolerance_tokens` above each limit. Small workspaces
+  // need them, since one of their requests may be larger than the burst.
   explicit Quotas(double tolerance_tokens)
       : tolerance_tokens_(tolerance_tokens) {}
 
-  // A workspace that stays keeps what its bucket holds.
+  // Sets the limits. The buckets of known workspaces keep their tokens.
   void Configure(const std::vector<Workspace>& workspaces, absl::Time now);
 
-  // The part of the workspace's limit that is counted here, over 0 and up to 1;
-  // what other hosts use of it is told by Spend().
+  // Sets the fraction of the workspace's limit that is counted here, over 0 and
+  // up to 1. The peers' use of it is charged with Charge().
   void SetShare(NameHash workspace, double share, absl::Time now);
 
-  // What the other hosts may let through before it is heard of.
+  // Sets the peers' demand, from which their unreported use is estimated.
   void SetPeerDemand(NameHash workspace, const PeerDemand& peer_demand,
                      absl::Time now);
 
-  // Another host has let through `tokens`.
+  // Charges `tokens` that a peer has admitted.
   void Charge(NameHash workspace, double tokens, absl::Time now);
 
-  // Those that have a limit.
+  // Returns the workspaces that have a limit.
   std::vector<NameHash> LimitedWorkspaces() const;
 
-  // Takes `tokens`, but leaves the part `kept` of what may be let through at
-  // once. When there is no more than that nothing is taken, and the answer is
-  // how long until there is. One request may overdraw the limit, or one larger
-  // than it holds could never run.
+  // Takes `tokens` if the bucket holds more than the fraction `reserved_share`
+  // of its capacity plus the peers' unreported use. Otherwise takes nothing and
+  // returns the time after which the caller may retry. One request may overdraw
+  // the limit: else a request larger than the capacity could never run.
   std::optional<absl::Duration> Take(NameHash workspace, double tokens,
                                      double reserved_share, absl::Time now);
 
-  // What was taken is not used after all.
+  // Returns tokens that were taken but not used.
   void Refund(NameHash workspace, double tokens, absl::Time now);
 
  private:
@@ -66,11 +68,12 @@
     schedule::TokenBucket tokens;
     PeerDemand peer_demand;
     UnreportedUse unreported;
-    absl::Time advanced_to;  // `unheard` counts up to then.
+    absl::Time
+        advanced_to;  // The buckets and estimates are current up to then.
   };
 
-  // Earns what is due, and follows the others' use.
-  static void Advance(Bucket* bucket, absl::Time now);
+  // Adds earned tokens, and updates the estimate of the peers' use.
+  static void AdvanceBucket(Bucket* bucket, absl::Time now);
 
   void ApplyShare(Bucket* bucket, absl::Time now) const;
   double BurstCapacity(const Quota& quota) const;
--- a/src/gateway/route_index.cc
+++ b/src/gateway/route_index.cc
@@ -54,22 +54,23 @@
 }
 
 Tier TierOf(const Route& route, const Workspace* workspace) {
-  // Operators use a handful of ranks.
-  constexpr int kRanks = 16;
-  const int inner = std::clamp(route.tier.rank, 0, kRanks - 1);
-  const bool ranked = workspace != nullptr && workspace->tier;
-  const int outer = ranked ? std::max(0, workspace->tier->rank) : 0;
-  return Tier{outer * kRanks + inner};
+  // Operators configure only a few ranks.
+  constexpr int kMaxRanks = 16;
+  const int route_rank = std::clamp(route.tier.rank, 0, kMaxRanks - 1);
+  const bool has_workspace_tier = workspace != nullptr && workspace->tier;
+  const int workspace_rank =
+      has_workspace_tier ? std::max(0, workspace->tier->rank) : 0;
+  return Tier{workspace_rank * kMaxRanks + route_rank};
 }
 
-const ServiceId& ChooseService(const Route& route, std::uint64_t draw) {
+const ServiceId& ChooseService(const Route& route, std::uint64_t hash) {
   double total = 0;
   for (const ServiceShare& share : route.services) total += share.weight;
-  // 53 random bits make a number in [0, 1).
-  double left = total * static_cast<double>(draw >> 11) * 0x1.0p-53;
+  // Turns the upper 53 bits into a number in [0, 1).
+  double remaining = total * static_cast<double>(hash >> 11) * 0x1.0p-53;
   for (const ServiceShare& share : route.services) {
-    if (left < share.weight) return share.service;
-    left -= share.weight;
+    if (remaining < share.weight) return share.service;
+    remaining -= share.weight;
   }
   return route.services.back().service;
 }
--- a/src/gateway/route_index.h
+++ b/src/gateway/route_index.h
@@ -1,5 +1,5 @@
-// Finds the route, the workspace and the service of a request in one version of
-// the configuration.
+// Finds a request's route, workspace and service in one version of the
+// configuration.
 
 #ifndef GENTIANLB_GATEWAY_ROUTE_INDEX_H_
 #define GENTIANLB_GATEWAY_ROUTE_INDEX_H_
@@ -19,33 +19,34 @@
   RouteIndex(const RouteIndex&) = delete;
   RouteIndex& operator=(const RouteIndex&) = delete;
 
-  // The route of `host` with the longest prefix that begins `path`; null when
-  // there is none. Costs a lookup for each slash of the path, however many
-  // routes there are.
+  // Returns the route of `host` with the longest prefix of `path`; null if
+  // there is none. Takes one lookup per slash of the path, for any number of
+  // routes.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
 
-  // Whose key it is; null when nobody's.
+  // Returns the workspace with this API key; null if there is none.
   const Workspace* FindWorkspace(std::string_view key) const;
 
-  // Null when the configuration doesn't name it.
+  // Returns null if the service is not configured.
   const Service* FindService(const ServiceId& id) const;
 
   const Configuration& configuration() const { return configuration_; }
 
  private:
   const Configuration configuration_;
-  absl::flat_hash_map<std::string, const Route*> routes_;  // Host and prefix.
+  absl::flat_hash_map<std::string, const Route*>
+      routes_;  // By host and prefix.
   absl::flat_hash_map<std::string, const Workspace*> workspaces_;  // By key.
   absl::flat_hash_map<ServiceId, const Service*> services_;
 };
 
-// The tier of a request. The workspace's goes first; the route's decides among
-// those of one tier. `workspace` may be null.
+// Returns the tier of a request. The workspace's tier takes precedence; the
+// route's orders requests within it. `workspace` may be null.
 Tier TierOf(const Route& route, const Workspace* workspace);
 
-// The service that gets a request of `route`: by weight, and always the same
-// for the same `draw`, which is any number spread evenly.
-const ServiceId& ChooseService(const Route& route, std::uint64_t draw);
+// Returns the service for a request of `route`, chosen by weight. `hash` is a
+// uniformly distributed number; equal values give the same service.
+const ServiceId& ChooseService(const Route& route, std::uint64_t hash);
 
 }  // namespace gentianlb::gateway
 
--- a/src/gateway/route_index_test.cc
+++ b/src/gateway/route_index_test.cc
@@ -18,7 +18,7 @@
   return route == nullptr ? "none" : route->name;
 }
 
-BOOST_AUTO_TEST_CASE(TheLongestPrefixOfTheHostWins) {
+BOOST_AUTO_TEST_CASE(FindsTheLongestPrefixOfTheHost) {
   Configuration configuration;
   configuration.routes = {MakeRoute("short", "a", "/x/"),
                           MakeRoute("long", "a", "/x/y/"),
@@ -34,7 +34,7 @@
   BOOST_TEST(NameOf(index.FindRoute("a", "")) == "none");
 }
 
-BOOST_AUTO_TEST_CASE(KeysNameTheirWorkspace) {
+BOOST_AUTO_TEST_CASE(FindsTheWorkspaceOfAKey) {
   Configuration configuration;
   configuration.workspaces.push_back({.id = WorkspaceId("w")});
   configuration.workspaces[0].keys = {"one", "two"};
@@ -44,7 +44,7 @@
   BOOST_TEST(index.FindWorkspace("") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(AWorkspacesTierGoesBeforeItsRoutes) {
+BOOST_AUTO_TEST_CASE(AWorkspacesTierPrecedesItsRoutes) {
   Route urgent;
   urgent.tier = Tier{0};
   Route batch;
@@ -58,13 +58,13 @@
   BOOST_TEST((TierOf(batch, nullptr) == Tier{2}));
 }
 
-BOOST_AUTO_TEST_CASE(ASplitFollowsItsWeights) {
+BOOST_AUTO_TEST_CASE(ServicesAreChosenByWeight) {
   Route route;
   route.services = {{ServiceId("most"), 90}, {ServiceId("few"), 10}};
   std::map<std::string, int> chosen;
-  constexpr int kDraws = 1000;
-  for (std::uint64_t i = 0; i < kDraws; ++i) {
-    ++chosen[ChooseService(route, i * (~std::uint64_t{0} / kDraws)).str()];
+  constexpr int kSamples = 1000;
+  for (std::uint64_t i = 0; i < kSamples; ++i) {
+    ++chosen[ChooseService(route, i * (~std::uint64_t{0} / kSamples)).str()];
   }
   BOOST_TEST(chosen["most"] >= 895);
   BOOST_TEST(chosen["most"] <= 905);
--- a/src/gateway/server_affinity.h
+++ b/src/gateway/server_affinity.h
@@ -1,14 +1,15 @@
-// Which servers an entry host uses first, where many hosts share them all.
+// Decides which servers an entry host prefers when many hosts share all
+// servers.
 //
-// Load pattern: each host sends to whichever server seems to have room, and
-// hears of what the others did some tenths of a second late. The quickest
-// server with room is then chosen by dozens of hosts at once: 30 to 60 streams
-// begin on a server of ten, and their callers wait a second and more for the
-// first token while other servers stand idle.
+// Load pattern: each host sends requests to a server that seems to have free
+// capacity, and learns of its peers' requests some tenths of a second late. So
+// dozens of hosts choose the fastest such server at once: 30 to 60 streams
+// start on a server with a capacity of ten, and their callers wait a second or
+// more for the first token while other servers are idle.
 //
-// So each host has servers that it is near to, and each server few such hosts.
-// They know most of what goes on there from themselves. Far servers are for
-// what the near ones have no room for.
+// So each host has near servers, and each server has few near hosts, which know
+// most of its load because they cause it. Far servers take the requests for
+// which near ones have no capacity.
 
 #ifndef GENTIANLB_GATEWAY_SERVER_AFFINITY_H_
 #define GENTIANLB_GATEWAY_SERVER_AFFINITY_H_
@@ -20,14 +21,15 @@
 namespace gentianlb::gateway {
 
 struct ServerAffinity {
-  // See schedule::ServerSpec.
+  // As in schedule::ServerSpec.
   double cost_factor = 1;
   double expected_competitors = 0;
   auto operator<=>(const ServerAffinity&) const = default;
 };
 
-// How `host`, one of `hosts`, likes `server`, one of `servers` of its service.
-// The same on each host and at each time, as long as the numbers are.
+// Returns the affinity of `host`, one of `hosts`, for `server`, one of
+// `servers` of its service. Depends on the arguments alone, so all hosts
+// compute the same.
 ServerAffinity AffinityFor(const EntryHostId& host, const ServerId& server,
                            std::size_t servers, int hosts);
 
--- a/src/gateway/server_affinity_test.cc
+++ b/src/gateway/server_affinity_test.cc
@@ -22,40 +22,41 @@
   return near;
 }
 
-// Ninety hosts hear at once that the quickest server has room again, and each
-// sends it what waits. Callers see a second pass before the first token while
-// servers beside it idle; with a few hosts near to each server they don't.
-BOOST_AUTO_TEST_CASE(AServerIsNearToFewOfManyHosts) {
+// Ninety hosts learn at once that the fastest server has free capacity, and
+// each sends its waiting requests there. Callers then wait for a second for the
+// first token while other servers are idle. With few near hosts per server they
+// don't.
+BOOST_AUTO_TEST_CASE(AServerHasFewNearHosts) {
   constexpr int kServers = 60;
-  int all = 0;
+  int total = 0;
   for (int i = 0; i < kServers; ++i) {
     const int near = NearHosts("server-" + std::to_string(i), kServers);
     BOOST_TEST(near <= 15);
-    all += near;
+    total += near;
   }
-  BOOST_TEST(all > 3 * kServers);
-  BOOST_TEST(all < 5 * kServers);
+  BOOST_TEST(total > 3 * kServers);
+  BOOST_TEST(total < 5 * kServers);
 }
 
-// A service of four servers is shared by ninety hosts. Were each server near to
-// four of them, most hosts would have to send all they get to far ones.
-BOOST_AUTO_TEST_CASE(MostHostsAreNearToSomeServerOfASmallService) {
-  int without = 0;
+// Ninety hosts share a service of four servers. If each server were near to
+// only four hosts, most hosts would have to send all requests to far servers.
+BOOST_AUTO_TEST_CASE(MostHostsHaveANearServerInASmallService) {
+  int hosts_without_near = 0;
   for (int i = 0; i < kHosts; ++i) {
     const EntryHostId host("host-" + std::to_string(i));
-    bool any = false;
+    bool has_near = false;
     for (int j = 0; j < 4; ++j) {
       const ServerId server("server-" + std::to_string(j));
-      any |= IsNear(AffinityFor(host, server, 4, kHosts));
+      has_near |= IsNear(AffinityFor(host, server, 4, kHosts));
     }
-    without += any ? 0 : 1;
+    hosts_without_near += has_near ? 0 : 1;
   }
-  BOOST_TEST(without < kHosts / 5);
+  BOOST_TEST(hosts_without_near < kHosts / 5);
 }
 
-// Eight hosts hear of each other in time. Waiting for a near server would cost
-// their callers more than choosing the same one now and then.
-BOOST_AUTO_TEST_CASE(FewHostsUseAllServersNearlyAlike) {
+// Eight hosts learn of each other's requests in time. Waiting for a near server
+// would cost their callers more than an occasional choice of the same server.
+BOOST_AUTO_TEST_CASE(FewHostsUseAllServersNearlyEqually) {
   for (int i = 0; i < 12; ++i) {
     const ServerId server("server-" + std::to_string(i));
     const ServerAffinity affinity =
--- a/src/gateway/service_queue.cc
+++ b/src/gateway/service_queue.cc
@@ -10,14 +10,14 @@
 namespace gentianlb::gateway {
 
 ServiceQueue::ServiceQueue(const ServiceQueueOptions& options)
-    : guess_(options.guess),
+    : initial_speed_(options.initial_speed),
       host_(options.host),
       dispatcher_(options.dispatcher),
       retries_(options.retries) {}
 
-schedule::ServerSpec ServiceQueue::SpecOf(const Service& service,
-                                          const ServerEntry& entry,
-                                          const ServerAffinity& affinity) const {
+schedule::ServerSpec ServiceQueue::SpecOf(
+    const Service& service, const ServerEntry& entry,
+    const ServerAffinity& affinity) const {
   schedule::ServerSpec spec;
   spec.id = entry.id;
   spec.max_streams = entry.streams;
@@ -25,8 +25,8 @@
   spec.alike = affinity.expected_competitors;
   if (!service.engine) return spec;
   spec.models = service.engine->models;
-  spec.prefill_tokens_per_second = guess_.prefill_tokens_per_second;
-  spec.decode_tokens_per_second = guess_.decode_tokens_per_second;
+  spec.prefill_tokens_per_second = initial_speed_.prefill_tokens_per_second;
+  spec.decode_tokens_per_second = initial_speed_.decode_tokens_per_second;
   spec.speeds_guessed = true;
   spec.kv_tokens = service.engine->kv_tokens;
   spec.cache_tokens = service.engine->kv_tokens;
@@ -41,25 +41,25 @@
     default_model_ = service.engine->models.front();
   }
   std::vector<schedule::ServerSpec> specs;
-  absl::flat_hash_map<ServerId, ServerEntry> known;
+  absl::flat_hash_map<ServerId, ServerEntry> entries;
   for (const ServerEntry& entry : servers) {
     const ServerAffinity affinity =
         AffinityFor(host_, entry.id, servers.size(), hosts);
     specs.push_back(SpecOf(service, entry, affinity));
-    known.emplace(entry.id, entry);
+    entries.emplace(entry.id, entry);
   }
-  known.swap(servers_);
+  entries.swap(servers_);
   if (specs != specs_) {
     specs_ = std::move(specs);
     dispatcher_.Handle(schedule::ServersConfigured{specs_}, now, decisions);
   }
   for (const ServerEntry& entry : servers) {
-    const auto before = known.find(entry.id);
+    const auto previous = entries.find(entry.id);
     const bool restarted =
-        before != known.end() && before->second.started != entry.started;
+        previous != entries.end() && previous->second.started != entry.started;
     using schedule::ServerHealth;
     using schedule::ServerHealthChanged;
-    // A server that was started anew holds nothing of before.
+    // A restarted server has lost its running requests and its cache.
     if (restarted) {
       dispatcher_.Handle(ServerHealthChanged{entry.id, ServerHealth::kDead},
                          now, decisions);
--- a/src/gateway/service_queue.h
+++ b/src/gateway/service_queue.h
@@ -1,5 +1,5 @@
-// The requests that wait for one service and its servers: the dispatcher of
-// this host for it, told of servers as they come, drain, restart and go.
+// The queue of requests for one service: this host's dispatcher for the
+// service, which is notified when servers register, drain, restart and leave.
 
 #ifndef GENTIANLB_GATEWAY_SERVICE_QUEUE_H_
 #define GENTIANLB_GATEWAY_SERVICE_QUEUE_H_
@@ -19,9 +19,9 @@
 
 struct ServerAffinity;
 
-// What servers are taken for before their answers have shown it: the middle of
-// today's engines, which compute 112 to 157 prompt tokens in a millisecond and
-// need 3.4 to 3.6 ms for a step of one stream.
+// Speeds assumed for a server until its responses show the real ones: the
+// middle of current engines, which compute 112 to 157 prompt tokens per
+// millisecond and need 3.4 to 3.6 ms for a step of one stream.
 struct InitialServerSpeed {
   double prefill_tokens_per_second = 112000;
   double decode_tokens_per_second = 280;
@@ -30,18 +30,18 @@
 
 struct ServiceQueueOptions {
   schedule::DispatcherOptions dispatcher;
-  InitialServerSpeed guess;
+  InitialServerSpeed initial_speed;
   RetryOptions retries;
   EntryHostId host;
 };
 
-// Not thread-safe: owned by the loop's thread.
+// Not thread-safe: used by the event loop's thread only.
 class ServiceQueue {
  public:
   explicit ServiceQueue(const ServiceQueueOptions& options);
 
-  // All servers of the service, also those that are draining, and how many
-  // hosts dispatch for them. The decisions are appended.
+  // Sets all servers of the service, including draining ones, and the number of
+  // hosts that dispatch to them. Appends the decisions that follow.
   void SetServers(const Service& service,
                   const std::vector<ServerEntry>& servers, int hosts,
                   absl::Time now, std::vector<schedule::Decision>* decisions);
@@ -51,10 +51,10 @@
     dispatcher_.Handle(event, now, decisions);
   }
 
-  // Null when it isn't known any more.
+  // Returns null if the server is not registered any more.
   const ServerEntry* FindServer(const ServerId& id) const;
 
-  // Free streams of all servers, less the requests that wait.
+  // Returns the free streams of all servers, less the waiting requests.
   std::int16_t FreeCapacity() const {
     return static_cast<std::int16_t>(dispatcher_.FreeStreams() -
                                      static_cast<int>(dispatcher_.waiting()));
@@ -63,10 +63,10 @@
   const schedule::Dispatcher& dispatcher() const { return dispatcher_; }
   RetryBudget& retries() { return retries_; }
   bool has_servers() const { return !servers_.empty(); }
-  // For a request that names no model.
+  // The model of requests that name none.
   const ModelId& default_model() const { return default_model_; }
 
-  // The wake-up that is armed for this queue; kept here, used by the owner.
+  // The dispatcher's next wake-up. The owner of the queue sets the timer.
   TimerId wakeup = 0;
   absl::Time wakeup_at = absl::InfiniteFuture();
 
@@ -74,7 +74,7 @@
   schedule::ServerSpec SpecOf(const Service& service, const ServerEntry& entry,
                               const ServerAffinity& affinity) const;
 
-  const InitialServerSpeed guess_;
+  const InitialServerSpeed initial_speed_;
   const EntryHostId host_;
   schedule::Dispatcher dispatcher_;
   RetryBudget retries_;
--- a/src/gateway/table_recovery.h
+++ b/src/gateway/table_recovery.h
@@ -1,11 +1,13 @@
-// When the table service came back after an outage, as far as this host knows.
+// The time at which the table service recovered from its last outage, as far as
+// this host knows.
 //
-// What goes wrong: registrations lapse while the service is away, so that
-// removals wait for a moment after its return (directory.h). A host that is
-// handed changes notices no outage by itself, and is told of the return. Were
-// it to tell on what it was told, hosts would refresh each other for ever:
-// removals would wait without end, and requests go to servers that have long
-// announced to leave. So only who noticed it tells.
+// Registrations expire while the service is unavailable, so that removals are
+// delayed for a moment after its recovery (directory.h). A host that receives
+// changes from its peers does not observe an outage itself, and learns of the
+// recovery from a peer. If it published a recovery that it learnt from a peer,
+// hosts would renew each other's delay forever: removals would never take
+// effect, and requests would go to servers that announced their departure long
+// before. So a host publishes only a recovery that it observed itself.
 
 #ifndef GENTIANLB_GATEWAY_TABLE_RECOVERY_H_
 #define GENTIANLB_GATEWAY_TABLE_RECOVERY_H_
@@ -20,27 +22,29 @@
 
 class TableRecovery {
  public:
-  // This host's own calls are answered again.
+  // Records that the service responds to this host's own calls again.
   void OnRecovered(absl::Time now) {
-    noticed_ = now;
+    observed_at_ = now;
     OnPeerReport(0, now);
   }
-  // Another host noticed it `milliseconds` ago; below 0: none did lately.
+  // Records that a peer observed a recovery `milliseconds` ago; negative: none
+  // recently.
   void OnPeerReport(std::int32_t milliseconds, absl::Time now) {
     if (milliseconds < 0) return;
     latest_ = std::max(latest_, now - absl::Milliseconds(milliseconds));
   }
 
   absl::Time latest() const { return latest_; }
-  // For OnPeerReport() of others.
+  // Returns the milliseconds since this host observed a recovery, for
+  // OnPeerReport() of peers; -1 if there was no recent one.
   std::int32_t AgeToPublish(absl::Time now) const {
-    const absl::Duration since = now - noticed_;
-    if (since >= kReregistrationTime) return -1;
-    return static_cast<std::int32_t>(absl::ToInt64Milliseconds(since));
+    const absl::Duration age = now - observed_at_;
+    if (age >= kReregistrationTime) return -1;
+    return static_cast<std::int32_t>(absl::ToInt64Milliseconds(age));
   }
 
  private:
-  absl::Time noticed_ = absl::InfinitePast();
+  absl::Time observed_at_ = absl::InfinitePast();
   absl::Time latest_ = absl::InfinitePast();
 };
 
--- a/src/gateway/table_recovery_test.cc
+++ b/src/gateway/table_recovery_test.cc
@@ -7,46 +7,46 @@
 
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 
-// Two hosts notice that the service is back, and tell each other of it for as
-// long as it matters; each message is on its way for a tenth of a second. Then
-// a server leaves. Its removal must not wait any more: callers would be sent to
-// it when it has ended.
-BOOST_AUTO_TEST_CASE(HostsDontRefreshEachOtherForEver) {
-  TableRecovery one;
-  TableRecovery other;
+// Two hosts observe that the service has recovered and publish it to each other
+// while it matters; each message takes a tenth of a second. Then a server
+// leaves. Its removal must not be delayed any more: requests would be sent to a
+// stopped server.
+BOOST_AUTO_TEST_CASE(HostsDontRenewTheDelayForever) {
+  TableRecovery first;
+  TableRecovery second;
   absl::Time now = start;
-  one.OnRecovered(now);
-  other.OnRecovered(now);
+  first.OnRecovered(now);
+  second.OnRecovered(now);
   for (int i = 0; i < 100; ++i) {
-    const std::int32_t by_one = one.AgeToPublish(now);
-    const std::int32_t by_other = other.AgeToPublish(now);
+    const std::int32_t age_at_first = first.AgeToPublish(now);
+    const std::int32_t age_at_second = second.AgeToPublish(now);
     now += absl::Milliseconds(100);
-    one.OnPeerReport(by_other, now);
-    other.OnPeerReport(by_one, now);
+    first.OnPeerReport(age_at_second, now);
+    second.OnPeerReport(age_at_first, now);
   }
-  BOOST_TEST((one.latest() <= start + absl::Milliseconds(200)));
+  BOOST_TEST((first.latest() <= start + absl::Milliseconds(200)));
   Directory directory;
   ServerEntry server;
   server.id = ServerId("s");
   directory.Update("s", server, now);
-  directory.OnTableRecovered(one.latest());
+  directory.OnTableRecovered(first.latest());
   directory.Update("s", std::nullopt, now);
   BOOST_TEST(directory.size() == 0u);
 }
 
-// A host that is handed changes hears that the service is back. What lapsed
-// meanwhile keeps its time to register again there too.
-BOOST_AUTO_TEST_CASE(WhoIsToldOfTheReturnLetsRemovalsWait) {
-  TableRecovery follower;
-  TableRecovery told;
-  follower.OnRecovered(start);
-  told.OnPeerReport(follower.AgeToPublish(start + absl::Milliseconds(300)),
-             start + absl::Milliseconds(400));
+// A host that receives changes from its peers learns of the recovery from them.
+// It too must give servers with expired registrations time to register again.
+BOOST_AUTO_TEST_CASE(ARecoveryFromAPeerDelaysRemovals) {
+  TableRecovery observer;
+  TableRecovery receiver;
+  observer.OnRecovered(start);
+  receiver.OnPeerReport(observer.AgeToPublish(start + absl::Milliseconds(300)),
+                        start + absl::Milliseconds(400));
   Directory directory;
   ServerEntry server;
   server.id = ServerId("s");
   directory.Update("s", server, start);
-  directory.OnTableRecovered(told.latest());
+  directory.OnTableRecovered(receiver.latest());
   directory.Update("s", std::nullopt, start + absl::Milliseconds(400));
   BOOST_TEST(directory.size() == 1u);
 }
--- a/src/gateway/unreported_use.h
+++ b/src/gateway/unreported_use.h
@@ -1,13 +1,13 @@
-// What the other hosts have let through of a limit and this host hasn't heard
-// of yet, by what their callers ask for.
+// Estimates, from the demand at the peers, the tokens of a limit that they have
+// admitted but not yet reported to this host.
 //
-// Load pattern: a workspace asks for several times its limit at two hundred
-// hosts. When the limit has something left again, all of them see it in the
-// same moment, and each lets through whatever comes until it hears that the
-// others did as much: more than a second of the limit at once, and then nothing
-// for seconds. One sees it as bursts of that workspace, and as callers who are
-// refused anew each time they come back. Counting on the others' doing the
-// same, each stops when what is left is used up by all together.
+// Load pattern: a workspace requests several times its limit at two hundred
+// hosts. When tokens become available, all hosts see that at once, and each
+// admits every request until its peers' reports arrive: more than a second's
+// worth of the limit at once, and then nothing for seconds. The workspace then
+// runs in bursts, and its callers are refused again each time they retry. With
+// the estimate, each host stops when all hosts together have used up the
+// tokens.
 
 #ifndef GENTIANLB_GATEWAY_UNREPORTED_USE_H_
 #define GENTIANLB_GATEWAY_UNREPORTED_USE_H_
@@ -20,21 +20,23 @@
 
 class UnreportedUse {
  public:
-  // The others' callers ask for so many tokens a second; what is let through is
-  // heard of after `delay` in the mean. Zero: nobody is heard, and whoever is
-  // there has a part of the limit of their own.
+  // Sets the peers' demand and the mean delay until their use is reported here.
+  // A delay of zero means that no peer is reachable: each host then has its own
+  // share of the limit, and there is no unreported use.
   void SetDemand(double tokens_per_second, absl::Duration delay) {
     tokens_per_second_ = tokens_per_second;
     delay_ = delay;
     if (delay <= absl::ZeroDuration()) tokens_ = 0;
   }
 
-  // `span` passes, in which the limit is `open` to all or to nobody.
+  // Advances by `span`, during which all hosts admit requests if the limit is
+  // `open`, and none does otherwise.
   void Advance(absl::Duration span, bool open) {
     if (delay_ <= absl::ZeroDuration()) return;
-    const double kept = std::exp(-absl::FDivDuration(span, delay_));
-    const double lasting = tokens_per_second_ * absl::ToDoubleSeconds(delay_);
-    tokens_ = tokens_ * kept + (open ? lasting * (1 - kept) : 0);
+    const double remaining = std::exp(-absl::FDivDuration(span, delay_));
+    const double steady_state =
+        tokens_per_second_ * absl::ToDoubleSeconds(delay_);
+    tokens_ = tokens_ * remaining + (open ? steady_state * (1 - remaining) : 0);
   }
 
   double tokens() const { return tokens_; }
--- a/src/gateway/use_counters.h
+++ b/src/gateway/use_counters.h
@@ -1,6 +1,6 @@
-// What a sender's counters of workspaces' tokens have grown by.
+// Computes how much a sender's token counters have grown between messages.
 //
-// Counters travel in place of amounts, so that a lost message loses nothing.
+// Messages carry counters, not amounts, so that a lost message loses nothing.
 
 #ifndef GENTIANLB_GATEWAY_USE_COUNTERS_H_
 #define GENTIANLB_GATEWAY_USE_COUNTERS_H_
@@ -21,18 +21,19 @@
   auto operator<=>(const UseDelta&) const = default;
 };
 
-// What the first message of a sender counts for. It may have told others of
-// the same, or nobody: then it counts in full, or what hosts overdrew while
-// they heard of nobody would never be paid back.
+// How the first message of a sender counts. The receiver may know its contents
+// from other messages or not at all. In the latter case they must count in
+// full, or an overdraft of hosts that could reach no peer would never be paid
+// back.
 enum class FirstMessage {
-  kIgnore,      // It only says from where to count.
-  kUnreported,  // What the host let through since it heard of the others last.
+  kIgnore,      // It only sets the counters' start values.
+  kUnreported,  // Counts use since the host's last update from its peers.
   kAll,
 };
 
 class UseCounters {
  public:
-  // What has grown since the last message; a sender that began anew has counted
+  // Returns the growth since the last message. A restarted sender has counted
   // from 0.
   std::vector<UseDelta> Update(std::int64_t incarnation,
                                const std::vector<WorkspaceUse>& uses,
