--- a/src/gateway/demand.cc
+++ b/src/gateway/demand.cc
@@ -23,7 +23,7 @@
 
 void Demand::RecordRequest(NameHash workspace, int rank, double tokens,
                            absl::Time now) {
-  struct LocalUse& own = own_[workspace];
+  struct LocalUse& own = by_workspace_[workspace];
   own.requested.Add(tokens, now);
   own.by_rank[rank].tokens.Add(tokens, now);
   own.by_rank[rank].requests.Add(1, now);
@@ -31,8 +31,8 @@
 
 double Demand::HigherPriorityShare(NameHash workspace, int rank,
                                    absl::Time now) const {
-  const auto own = own_.find(workspace);
-  if (own == own_.end()) return 0;
+  const auto own = by_workspace_.find(workspace);
+  if (own == by_workspace_.end()) return 0;
   double higher_tokens = 0;
   double higher_requests = 0;
   for (const auto& [other, requested] : own->second.by_rank) {
@@ -51,19 +51,19 @@
 }
 
 void Demand::RecordAdmitted(NameHash workspace, double tokens) {
-  own_[workspace].admitted += static_cast<std::uint64_t>(tokens);
-  own_[workspace].unreported += tokens;
+  by_workspace_[workspace].admitted += static_cast<std::uint64_t>(tokens);
+  by_workspace_[workspace].unreported += tokens;
 }
 
 void Demand::RecordRefund(NameHash workspace, double tokens) {
-  own_[workspace].refunded += static_cast<std::uint64_t>(tokens);
+  by_workspace_[workspace].refunded += static_cast<std::uint64_t>(tokens);
 }
 
-std::vector<PeerUse> Demand::OnPeerUpdate(const FleetNews& others,
+std::vector<PeerUse> Demand::OnPeerUpdate(const FleetNews& update,
                                           absl::Time now) {
   // Each aggregator counts from its own start. While this host was partitioned,
   // its peers kept to their shares.
-  const bool same_source = others.sender.host == last_update_.sender.host &&
+  const bool same_source = update.sender.host == last_update_.sender.host &&
                            now - last_update_at_ <= Believed(UpdatePeriod());
   if (!same_source) counters_ = UseCounters();
   std::vector<PeerUse> uses;
@@ -71,24 +71,24 @@
   // this host, unless the host itself has just started.
   const bool aggregator_is_newer =
       last_update_at_ != absl::InfinitePast() &&
-      now - last_update_at_ >= absl::Milliseconds(others.age_ms);
+      now - last_update_at_ >= absl::Milliseconds(update.age_ms);
   const FirstMessage first =
       aggregator_is_newer ? FirstMessage::kAll : FirstMessage::kIgnore;
-  for (auto& [workspace, own] : own_) own.unreported = 0;
+  for (auto& [workspace, own] : by_workspace_) own.unreported = 0;
   for (const UseDelta& delta :
-       counters_.Update(others.incarnation, others.workspaces, first)) {
+       counters_.Update(update.incarnation, update.workspaces, first)) {
     uses.push_back({delta.workspace, static_cast<double>(delta.admitted) -
                                          static_cast<double>(delta.refunded)});
   }
-  last_update_ = others;
+  last_update_ = update;
   last_update_at_ = now;
-  if (others.complete || others.hosts + 1 > hosts_) hosts_ = others.hosts + 1;
+  if (update.complete || update.hosts + 1 > hosts_) hosts_ = update.hosts + 1;
   return uses;
 }
 
 std::vector<WorkspaceUse> Demand::BuildUpdate(absl::Time now) {
   std::vector<WorkspaceUse> uses;
-  for (auto& [workspace, own] : own_) {
+  for (auto& [workspace, own] : by_workspace_) {
     std::rotate(own.published.begin(), own.published.begin() + 1,
                 own.published.end());
     own.published.back() = own.TokensPerSecond(now);
@@ -112,8 +112,9 @@
 }
 
 double Demand::ShareOfDemand(NameHash workspace) const {
-  const auto local = own_.find(workspace);
-  const double own = local == own_.end() ? 0 : local->second.published.front();
+  const auto local = by_workspace_.find(workspace);
+  const double own =
+      local == by_workspace_.end() ? 0 : local->second.published.front();
   double total = own;
   if (const WorkspaceUse* use = FindPeerUse(workspace)) {
     total += std::max(0.0F, use->tokens_per_second);
@@ -124,9 +125,9 @@
 
 void Demand::UpdateShares(const std::vector<NameHash>& limited,
                           absl::Time now) {
-  for (const NameHash workspace : limited) own_.try_emplace(workspace);
+  for (const NameHash workspace : limited) by_workspace_.try_emplace(workspace);
   if (!AllHostsReachable(now)) return;
-  for (const auto& [workspace, own] : own_) {
+  for (const auto& [workspace, own] : by_workspace_) {
     shares_[workspace] = ShareOfDemand(workspace);
   }
 }
@@ -150,25 +151,25 @@
 }
 
 PeerDemand Demand::DemandOfPeers(NameHash workspace, absl::Time now) const {
-  PeerDemand others;
-  if (!IsLastUpdateCurrent(now)) return others;
-  others.report_delay = kReportDelayPeriods * UpdatePeriod();
+  PeerDemand peers;
+  if (!IsLastUpdateCurrent(now)) return peers;
+  peers.report_delay = kReportDelayPeriods * UpdatePeriod();
   if (const WorkspaceUse* use = FindPeerUse(workspace)) {
-    others.tokens_per_second = std::max(0.0F, use->tokens_per_second);
+    peers.tokens_per_second = std::max(0.0F, use->tokens_per_second);
   }
-  return others;
+  return peers;
 }
 
 double Demand::LimitShare(NameHash workspace, absl::Time now) const {
   // With a share of 0 no request would ever be admitted.
   constexpr double kMinShare = 0.001;
   if (AllHostsReachable(now)) return 1;
-  double part = LocalShare(workspace);
+  double share = LocalShare(workspace);
   if (const WorkspaceUse* use = FindPeerUse(workspace);
       use && IsLastUpdateCurrent(now)) {
-    part += std::max(0.0F, use->part);
+    share += std::max(0.0F, use->part);
   }
-  return std::clamp(part, kMinShare, 1.0);
+  return std::clamp(share, kMinShare, 1.0);
 }
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/demand.h
+++ b/src/gateway/demand.h
@@ -73,7 +73,7 @@
   void RaiseHostCount(int hosts) { hosts_ = std::max(hosts_, hosts); }
   // Records the merged state of all peers, from the zone's aggregator. Returns
   // the tokens that they have admitted since the last update.
-  std::vector<PeerUse> OnPeerUpdate(const FleetNews& others, absl::Time now);
+  std::vector<PeerUse> OnPeerUpdate(const FleetNews& update, absl::Time now);
 
   // Returns this host's use for its next periodic update to peers.
   std::vector<WorkspaceUse> BuildUpdate(absl::Time now);
@@ -129,7 +129,7 @@
   // Returns this host's fraction of the demand of all hosts.
   double ShareOfDemand(NameHash workspace) const;
 
-  std::map<NameHash, struct LocalUse> own_;
+  std::map<NameHash, struct LocalUse> by_workspace_;
   FleetNews last_update_;
   absl::Time last_update_at_ = absl::InfinitePast();
   UseCounters counters_;
--- a/src/gateway/demand_test.cc
+++ b/src/gateway/demand_test.cc
@@ -13,22 +13,22 @@
 
 const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
 
-Workspace Limited(double rate, double burst) {
+Workspace MakeLimitedWorkspace(double rate, double burst) {
   Workspace workspace;
   workspace.id = WorkspaceId("w");
   workspace.quota = {rate, burst, 1};
   return workspace;
 }
 
-const NameHash workspace_name = HashName("w");
+const NameHash name_hash = HashName("w");
 
-// What the operators tolerate above a limit, in a window.
+// Tokens above a limit that operators tolerate in a window.
 constexpr double kTolerance = 140'000;
 
 constexpr int kHosts = 8;
 constexpr int kZones = 4;
 
-// One entry host's part in keeping the limit, as the gateway wires it.
+// The state that one entry host holds for a limit, wired as in the gateway.
 struct FakeHost {
   void Start(const Workspace& workspace, int hosts, absl::Time now) {
     demand = Demand();
@@ -37,26 +37,24 @@
     demand.RaiseHostCount(hosts);
   }
 
-  void Take(const FleetNews& others, absl::Time now) {
-    for (const PeerUse& spent : demand.OnPeerUpdate(others, now)) {
+  void OnPeerUpdate(const FleetNews& update, absl::Time now) {
+    for (const PeerUse& spent : demand.OnPeerUpdate(update, now)) {
       quotas.Charge(spent.workspace, spent.tokens, now);
     }
     Tick(now);
   }
 
   void Tick(absl::Time now) {
-    demand.UpdateShares({workspace_name}, now);
-    quotas.SetShare(workspace_name, demand.LimitShare(workspace_name, now),
-                    now);
-    quotas.SetPeerDemand(workspace_name,
-                         demand.DemandOfPeers(workspace_name, now), now);
+    demand.UpdateShares({name_hash}, now);
+    quotas.SetShare(name_hash, demand.LimitShare(name_hash, now), now);
+    quotas.SetPeerDemand(name_hash, demand.DemandOfPeers(name_hash, now), now);
   }
 
-  // None when it is let through, else when its caller may come back.
+  // Returns nothing if the request is admitted, else the time until a retry.
   std::optional<absl::Duration> Request(double tokens, absl::Time now) {
-    demand.RecordRequest(workspace_name, /*rank=*/0, tokens, now);
-    const auto wait = quotas.Take(workspace_name, tokens, /*kept=*/0, now);
-    if (!wait) demand.RecordAdmitted(workspace_name, tokens);
+    demand.RecordRequest(name_hash, /*rank=*/0, tokens, now);
+    const auto wait = quotas.Take(name_hash, tokens, /*reserve=*/0, now);
+    if (!wait) demand.RecordAdmitted(name_hash, tokens);
     return wait;
   }
 
@@ -64,7 +62,7 @@
   Quotas quotas{kTolerance};
 };
 
-// What all hosts let through, and the most of it in any span of `window`.
+// The tokens that all hosts admit: the total, and the maximum in any `window`.
 class Tally {
  public:
   explicit Tally(absl::Duration window) : window_(window) {}
@@ -76,24 +74,24 @@
       sum_ -= spans_.front().second;
       spans_.pop_front();
     }
-    most_ = std::max(most_, sum_);
+    max_in_window_ = std::max(max_in_window_, sum_);
     total_ += tokens;
   }
 
-  double most() const { return most_; }
+  double max_in_window() const { return max_in_window_; }
   double total() const { return total_; }
 
  private:
   absl::Duration window_;
   std::deque<std::pair<absl::Time, double>> spans_;
   double sum_ = 0;
-  double most_ = 0;
+  double max_in_window_ = 0;
   double total_ = 0;
 };
 
 constexpr double kRate = 160'000;
 constexpr absl::Duration kWindow = absl::Seconds(8);
-// What the operators allow in a window, with a burst of a second's rate.
+// Tokens that the operators allow in a window, with a burst of one second.
 constexpr double AllowedOf(double rate) {
   return (rate * 8 + rate) * 1.1 + kTolerance;
 }
@@ -112,40 +110,41 @@
     fleet_.Add(hosts, zones);
     for (auto& [name, host] : fleet_.hosts) {
       FakeHost* fake = &fakes_[name];
-      fake->Start(Limited(rate_, rate_), hosts_, fleet_.now);
+      fake->Start(MakeLimitedWorkspace(rate_, rate_), hosts_, fleet_.now);
       host.compose = [this, fake](FleetNews* own) {
         own->workspaces = fake->demand.BuildUpdate(fleet_.now);
       };
-      host.on_others = [this, fake](const FleetNews& others) {
-        fake->Take(others, fleet_.now);
+      host.on_others = [this, fake](const FleetNews& update) {
+        fake->OnPeerUpdate(update, fleet_.now);
       };
     }
-    // Hosts have met before callers come.
+    // Hosts know each other before the first request.
     fleet_.Pass(absl::Seconds(2));
   }
 
-  // Callers ask for `load` times the limit for `span`, most of them at one
-  // host when `uneven`.
+  // Callers request `load` times the limit for `span`, about half of it at one
+  // host if `uneven`.
   void Run(absl::Duration span, double load, bool uneven) {
     const absl::Time end = fleet_.now + span;
     while (fleet_.now < end) {
       fleet_.Step();
       for (auto& [name, fake] : fakes_) fake.Tick(fleet_.now);
-      if (come_back) AskAgain();
-      Ask(load * rate_ * absl::ToDoubleSeconds(FleetSite::kStep), uneven);
+      if (callers_retry) SendRetries();
+      SendRequests(load * rate_ * absl::ToDoubleSeconds(FleetSite::kStep),
+                   uneven);
     }
   }
 
-  void Split(int sides) {
-    for (auto& [name, host] : fleet_.hosts) host.side = Draw(sides);
+  void Partition(int sides) {
+    for (auto& [name, host] : fleet_.hosts) host.side = RandomBelow(sides);
   }
-  void Heal() {
+  void HealPartition() {
     for (auto& [name, host] : fleet_.hosts) host.side = 0;
   }
-  void Kill() { fleet_.Kill(FleetSite::Name(Draw(hosts_))); }
-  void KillMost() {
+  void Kill() { fleet_.Kill(FleetSite::Name(RandomBelow(hosts_))); }
+  void KillMostHosts() {
     for (auto& [name, host] : fleet_.hosts) {
-      if (Draw(100) < 60) fleet_.Kill(name);
+      if (RandomBelow(100) < 60) fleet_.Kill(name);
     }
   }
   void KillAll() {
@@ -156,96 +155,100 @@
       if (host.fleet->aggregates()) fleet_.Kill(name);
     }
   }
-  void CutOffZone(const std::string& zone) {
+  void IsolateZone(const std::string& zone) {
     for (auto& [name, host] : fleet_.hosts) {
       host.side = host.entry.zone == zone ? 1 : 0;
     }
   }
-  // All that are down, but for the first `but`.
-  void Restart(int but = 0) {
+  // Restarts all stopped hosts except the first `except`.
+  void Restart(int except = 0) {
     for (auto& [name, host] : fleet_.hosts) {
-      if (host.up || but-- > 0) continue;
-      fakes_.at(name).Start(Limited(rate_, rate_), hosts_, fleet_.now);
+      if (host.up || except-- > 0) continue;
+      fakes_.at(name).Start(MakeLimitedWorkspace(rate_, rate_), hosts_,
+                            fleet_.now);
       fleet_.Start(name);
     }
   }
 
-  // Whether callers that are refused come back.
-  bool come_back = false;
-  // The part of them that was let through then.
-  double ServedOfReturned() const { return served_then_ / came_back_; }
+  // Whether refused callers retry.
+  bool callers_retry = false;
+  // Returns the fraction of their retries that were admitted.
+  double AdmittedRetryFraction() const {
+    return admitted_retries_ / retry_count_;
+  }
 
   const Tally& tally() const { return tally_; }
   double refused() const { return refused_; }  // Tokens.
 
  private:
-  int Draw(int below) { return static_cast<int>(random_() % below); }
-
-  void Ask(double tokens, bool uneven) {
-    owed_ += tokens;
-    while (owed_ > 0) {
-      // Requests differ a hundredfold.
-      const double size = 300.0 * (1 << Draw(7));
-      owed_ -= size;
-      const bool favoured = uneven && Draw(2) == 0;
-      const std::string name = FleetSite::Name(favoured ? 0 : Draw(hosts_));
+  int RandomBelow(int below) { return static_cast<int>(random_() % below); }
+
+  void SendRequests(double tokens, bool uneven) {
+    pending_tokens_ += tokens;
+    while (pending_tokens_ > 0) {
+      // Sizes differ a hundredfold.
+      const double size = 300.0 * (1 << RandomBelow(7));
+      pending_tokens_ -= size;
+      const bool to_first_host = uneven && RandomBelow(2) == 0;
+      const std::string name =
+          FleetSite::Name(to_first_host ? 0 : RandomBelow(hosts_));
       if (!fleet_.hosts.at(name).up) continue;
       const auto wait = fakes_.at(name).Request(size, fleet_.now);
       if (!wait) tally_.Add(size, fleet_.now);
       if (wait) refused_ += size;
-      if (wait) returning_.emplace(fleet_.now + *wait, size);
+      if (wait) retries_.emplace(fleet_.now + *wait, size);
     }
   }
 
-  // Who was refused comes back once, when it was told to, to any host.
-  void AskAgain() {
-    while (!returning_.empty() && returning_.begin()->first <= fleet_.now) {
-      const double size = returning_.begin()->second;
-      returning_.erase(returning_.begin());
-      const std::string name = FleetSite::Name(Draw(hosts_));
+  // Refused callers retry once, at the advised time, at any host.
+  void SendRetries() {
+    while (!retries_.empty() && retries_.begin()->first <= fleet_.now) {
+      const double size = retries_.begin()->second;
+      retries_.erase(retries_.begin());
+      const std::string name = FleetSite::Name(RandomBelow(hosts_));
       if (!fleet_.hosts.at(name).up) continue;
       const auto wait = fakes_.at(name).Request(size, fleet_.now);
-      ++came_back_;
+      ++retry_count_;
       if (wait) continue;
       tally_.Add(size, fleet_.now);
-      ++served_then_;
+      ++admitted_retries_;
     }
   }
 
   std::mt19937_64 random_;
   const int hosts_;
-  const double rate_;  // Of the limit, tokens a second.
+  const double rate_;  // Of the limit, tokens per second.
   FleetSite fleet_;
   std::map<std::string, FakeHost> fakes_;
-  double owed_ = 0;  // That callers are yet to ask for.
+  double pending_tokens_ = 0;  // Not yet requested by callers.
   double refused_ = 0;
-  std::multimap<absl::Time, double> returning_;  // Tokens, by time.
-  double came_back_ = 0;
-  double served_then_ = 0;
+  std::multimap<absl::Time, double> retries_;  // Tokens, by time of retry.
+  double retry_count_ = 0;
+  double admitted_retries_ = 0;
   Tally tally_;
 };
 
-// Callers ask for less than the limit, unevenly and in sizes that differ a
+// Callers request less than the limit, unevenly and in sizes that differ a
 // hundredfold. None of them may be refused.
-BOOST_AUTO_TEST_CASE(BelowTheLimitNobodyIsRefused) {
+BOOST_AUTO_TEST_CASE(NoRequestIsRefusedBelowTheLimit) {
   Site site(1);
   site.Run(absl::Seconds(20), 0.5, /*uneven=*/true);
   BOOST_TEST(site.tally().total() > 0.5 * kRate * 20);
 }
 
-// One workspace sends five times its limit. It gets its limit, over all hosts
-// together, and not much less.
-BOOST_AUTO_TEST_CASE(AboveTheLimitTheLimitIsServed) {
+// One workspace requests five times its limit. It must get its limit over all
+// hosts together, and not much less.
+BOOST_AUTO_TEST_CASE(TheWholeLimitIsUsedAboveTheLimit) {
   Site site(2);
   site.Run(absl::Seconds(20), 5, /*uneven=*/false);
-  BOOST_TEST(site.tally().most() < kAllowed);
+  BOOST_TEST(site.tally().max_in_window() < kAllowed);
   BOOST_TEST(site.tally().total() > 0.9 * kRate * 20);
 }
 
-// Hosts are cut off from each other in every way, die and come back, while a
-// workspace asks for five times its limit. No span of eight seconds may show
-// more than the operators allow: the others' callers would wait behind it.
-BOOST_AUTO_TEST_CASE(TheLimitHoldsThroughCutsDeathsAndReturns) {
+// Hosts are partitioned, die and restart in random order while a workspace
+// requests five times its limit. No window of eight seconds may exceed what the
+// operators allow, or requests of other workspaces would wait.
+BOOST_AUTO_TEST_CASE(TheLimitHoldsThroughPartitionsAndRestarts) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Site site(seed);
     std::mt19937_64 script(seed * 7919);
@@ -253,10 +256,10 @@
     for (int step = 0; step < 6; ++step) {
       switch (script() % 4) {
         case 0:
-          site.Split(2 + static_cast<int>(script() % 7));
+          site.Partition(2 + static_cast<int>(script() % 7));
           break;
         case 1:
-          site.Heal();
+          site.HealPartition();
           break;
         case 2:
           site.Kill();
@@ -267,36 +270,37 @@
       const absl::Duration span = absl::Milliseconds(500 + script() % 6000);
       site.Run(span, script() % 2 == 0 ? 5 : 0.6, script() % 2 == 0);
     }
-    BOOST_TEST(site.tally().most() < kAllowed,
-               "seed " << seed << " let through " << site.tally().most());
+    BOOST_TEST(site.tally().max_in_window() < kAllowed,
+               "seed " << seed << " admitted " << site.tally().max_in_window());
   }
 }
 
-// A hundred hosts, most of which are killed at once and come back half a second
-// later, and then a zone is cut off, while a workspace asks for five times its
-// limit. Each host knows of the others' use by three messages.
+// A hundred hosts, of which most are killed at once and restart half a second
+// later; then a zone is partitioned. A workspace requests five times its limit.
+// Each host knows its peers' use through three messages.
 BOOST_AUTO_TEST_CASE(TheLimitHoldsOnAHundredHosts) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Site site(seed, /*hosts=*/100, /*zones=*/6);
     site.Run(absl::Seconds(4), seed % 2 == 0 ? 0.6 : 5, seed % 3 == 0);
-    site.KillMost();
+    site.KillMostHosts();
     site.Run(absl::Milliseconds(500), 5, false);
     site.Restart();
     site.Run(absl::Milliseconds(2500), 5, false);
-    site.CutOffZone("z2");
+    site.IsolateZone("z2");
     site.Run(absl::Seconds(6), 5, seed % 3 == 1);
-    site.Heal();
+    site.HealPartition();
     site.Run(absl::Seconds(3), 5, false);
-    BOOST_TEST_MESSAGE("seed " << seed << " most " << site.tally().most());
-    BOOST_TEST(site.tally().most() < kAllowed,
-               "seed " << seed << " let through " << site.tally().most());
+    BOOST_TEST_MESSAGE("seed " << seed << " max "
+                               << site.tally().max_in_window());
+    BOOST_TEST(site.tally().max_in_window() < kAllowed,
+               "seed " << seed << " admitted " << site.tally().max_in_window());
   }
 }
 
-// The hosts that aggregate are killed again and again. Each time all others
-// keep to their parts for a moment; were each to take the whole limit for
-// unused when it hears of the others again, every time would give a burst anew.
-BOOST_AUTO_TEST_CASE(TheLimitHoldsWhileAggregatorsComeAndGo) {
+// The aggregators are killed again and again. Each time all other hosts keep to
+// their shares for a moment. If each took the whole limit for unused when it
+// reaches its peers again, every time would allow a new burst.
+BOOST_AUTO_TEST_CASE(TheLimitHoldsWhileAggregatorsRestart) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Site site(seed, /*hosts=*/40, /*zones=*/4);
     site.Run(absl::Seconds(4), 5, seed % 3 == 0);
@@ -306,58 +310,58 @@
       site.Restart();
       site.Run(absl::Milliseconds(400), 5, seed % 3 == 0);
     }
-    BOOST_TEST_MESSAGE("seed " << seed << " most " << site.tally().most());
-    BOOST_TEST(site.tally().most() < kAllowed,
-               "seed " << seed << " let through " << site.tally().most());
+    BOOST_TEST_MESSAGE("seed " << seed << " max "
+                               << site.tally().max_in_window());
+    BOOST_TEST(site.tally().max_in_window() < kAllowed,
+               "seed " << seed << " admitted " << site.tally().max_in_window());
   }
 }
 
-// Callers of a large workspace ask two hundred hosts for up to four times its
-// limit, and come back when they were told to.
+// Callers of a large workspace request up to four times its limit at two
+// hundred hosts, and retry at the advised time.
 class PressedSite : public Site {
  public:
-  static constexpr double kLimit = 640'000;  // Tokens a second.
+  static constexpr double kLimit = 640'000;  // Tokens per second.
 
   explicit PressedSite(std::uint64_t seed)
       : Site(seed, /*hosts=*/195, /*zones=*/6, kLimit) {
-    come_back = true;
+    callers_retry = true;
     for (const double load : {0.6, 2.0, 4.0}) {
       Run(absl::Seconds(6), load, /*uneven=*/false);
     }
   }
 };
 
-// Whoever comes back in the moment in which the limit has something left again
-// meets all others who were told the same. Each host hears of the others' use
-// some tenths of a second late, and would let all of them through; the
-// workspace has more than its limit then, at the others' cost.
-BOOST_AUTO_TEST_CASE(TheLimitHoldsWhenCallersComeBackTogether) {
+// Refused callers that were advised the same time retry together when tokens
+// become available. Each host learns of its peers' use some tenths of a second
+// late and could admit all of them, so that the workspace exceeds its limit at
+// the expense of others.
+BOOST_AUTO_TEST_CASE(TheLimitHoldsWhenCallersRetryTogether) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const PressedSite site(seed);
-    BOOST_TEST(site.tally().most() < AllowedOf(PressedSite::kLimit));
+    BOOST_TEST(site.tally().max_in_window() < AllowedOf(PressedSite::kLimit));
     BOOST_TEST(site.tally().total() >
                0.9 * PressedSite::kLimit * (0.6 * 6 + 2 * 6));
   }
 }
 
-// Told the same moment as many others, callers who come back are refused anew.
-// At four times the limit a quarter can be served.
+// Callers that retry at the same time as many others are refused again. At four
+// times the limit a quarter can be served.
 BOOST_AUTO_TEST_CASE(WhoComesBackToALimitFindsRoom,
                      *boost::unit_test::disabled()) {  // See KNOWN-RED.txt.
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const PressedSite site(seed);
     BOOST_TEST_MESSAGE("seed " << seed << " served "
-                               << site.ServedOfReturned());
-    BOOST_TEST(site.ServedOfReturned() > 0.25);
+                               << site.AdmittedRetryFraction());
+    BOOST_TEST(site.AdmittedRetryFraction() > 0.25);
   }
 }
 
-// All hosts lose power at once and come back, but for three. Callers ask for
-// half of the limit, as before. Until the three are given up, nobody hears of
-// all hosts; with a two hundredth of the limit each, a host would refuse the
-// second request that comes to it, and callers would be told to come back in
-// minutes.
-BOOST_AUTO_TEST_CASE(AfterAllLostPowerCallersAreServedAtOnce) {
+// All hosts lose power at once, and all but three restart. Callers request half
+// of the limit, as before. No host reaches all peers until the three are given
+// up. With a share of a two hundredth of the limit each, a host would refuse
+// its second request and advise its caller to retry in minutes.
+BOOST_AUTO_TEST_CASE(AfterAPowerLossCallersAreServedAtOnce) {
   constexpr double kLoad = 0.5;
   constexpr int kSeeds = 6;
   constexpr absl::Duration kSpan = absl::Seconds(2);
@@ -367,7 +371,7 @@
     site.Run(absl::Seconds(4), kLoad, /*uneven=*/false);
     site.KillAll();
     site.Run(absl::Seconds(1), 0, false);
-    site.Restart(/*but=*/3);
+    site.Restart(/*except=*/3);
     site.Run(absl::Milliseconds(800), kLoad, false);
     const double before = site.refused();
     site.Run(kSpan, kLoad, false);
@@ -378,75 +382,74 @@
   BOOST_TEST(refused < 0.05 * asked);
 }
 
-// The same while a workspace asks for five times its limit: what all hosts let
-// through before they hear of each other stays within what operators allow.
-BOOST_AUTO_TEST_CASE(TheLimitHoldsWhenAllLosePower) {
+// The same while a workspace requests five times its limit: the tokens that all
+// hosts admit before their updates arrive must stay within the allowance.
+BOOST_AUTO_TEST_CASE(TheLimitHoldsThroughAPowerLoss) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Site site(seed, /*hosts=*/100, /*zones=*/6);
     site.Run(absl::Seconds(6), 5, /*uneven=*/false);
     site.KillAll();
     site.Run(absl::Milliseconds(500), 0, false);
-    site.Restart(/*but=*/static_cast<int>(seed % 3));
+    site.Restart(/*except=*/static_cast<int>(seed % 3));
     site.Run(absl::Seconds(6), 5, seed % 2 == 0);
-    BOOST_TEST_MESSAGE("seed " << seed << " most " << site.tally().most());
-    BOOST_TEST(site.tally().most() < kAllowed,
-               "seed " << seed << " let through " << site.tally().most());
+    BOOST_TEST_MESSAGE("seed " << seed << " max "
+                               << site.tally().max_in_window());
+    BOOST_TEST(site.tally().max_in_window() < kAllowed,
+               "seed " << seed << " admitted " << site.tally().max_in_window());
   }
 }
 
-// A workspace asks for three times its limit, two thirds of it for a cheap kind
-// of the lowest tier. Taken as they come, two in three of the urgent requests
-// would be refused while the cheap ones use the limit up.
-BOOST_AUTO_TEST_CASE(UrgentRequestsHaveTheLimitFirst) {
+// A workspace requests three times its limit, two thirds of it in cheap
+// requests of the lowest tier. Admitted in order of arrival, two of three
+// urgent requests would be refused while the cheap ones use up the limit.
+BOOST_AUTO_TEST_CASE(UrgentRequestsPrecedeCheapOnes) {
   Demand demand;
   Quotas quotas(kTolerance);
   absl::Time now = start;
-  quotas.Configure({Limited(kRate, kRate)}, now);
+  quotas.Configure({MakeLimitedWorkspace(kRate, kRate)}, now);
   constexpr double kTokens = 3000;
   int urgent_served = 0;
   int cheap_served = 0;
   int urgent_asked = 0;
   const auto ask = [&](int rank) {
-    demand.RecordRequest(workspace_name, rank, kTokens, now);
-    const double kept =
-        0.5 * demand.HigherPriorityShare(workspace_name, rank, now);
-    return !quotas.Take(workspace_name, kTokens, kept, now).has_value();
+    demand.RecordRequest(name_hash, rank, kTokens, now);
+    const double kept = 0.5 * demand.HigherPriorityShare(name_hash, rank, now);
+    return !quotas.Take(name_hash, kTokens, kept, now).has_value();
   };
   for (int i = 0; i < 2000; ++i) {
     now += absl::Seconds(kTokens / kRate);
-    // Nine tenths of the limit, and twice the limit.
+    // Urgent: nine tenths of the limit; cheap: twice the limit.
     const bool urgent = i % 10 != 0;
     urgent_asked += urgent ? 1 : 0;
     for (int j = 0; j < 2; ++j) cheap_served += ask(/*rank=*/2) ? 1 : 0;
     if (urgent) urgent_served += ask(/*rank=*/0) ? 1 : 0;
   }
   BOOST_TEST(urgent_served > 0.95 * urgent_asked);
-  BOOST_TEST(cheap_served > 0);  // What is left of the limit.
+  BOOST_TEST(cheap_served > 0);  // The rest of the limit.
   BOOST_TEST(urgent_served + cheap_served < 2000 * 1.1);
 }
 
-// Beside urgent requests of thousands of tokens a workspace sends calls of a
-// hundred. Refusing them would leave the urgent ones hardly any more. A kind as
-// large as the urgent one leaves them all that they ask for.
-BOOST_AUTO_TEST_CASE(SmallRequestsLeaveLittleOfTheLimit) {
+// Besides urgent requests of thousands of tokens a workspace sends requests of
+// a hundred. Refusing these would hardly help the urgent ones. A kind as large
+// as the urgent one must leave it all that it requests.
+BOOST_AUTO_TEST_CASE(SmallRequestsReserveLittleOfTheLimit) {
   Demand demand;
-  for (int i = 0; i < 100; ++i)
-    demand.RecordRequest(workspace_name, 0, 4000, start);
-  demand.RecordRequest(workspace_name, 2, 100, start);
-  demand.RecordRequest(workspace_name, 3, 4000, start);
-  BOOST_TEST(demand.HigherPriorityShare(workspace_name, 2, start) < 0.03);
-  BOOST_TEST(demand.HigherPriorityShare(workspace_name, 3, start) > 0.9);
-  BOOST_TEST(demand.HigherPriorityShare(workspace_name, 0, start) == 0);
+  for (int i = 0; i < 100; ++i) demand.RecordRequest(name_hash, 0, 4000, start);
+  demand.RecordRequest(name_hash, 2, 100, start);
+  demand.RecordRequest(name_hash, 3, 4000, start);
+  BOOST_TEST(demand.HigherPriorityShare(name_hash, 2, start) < 0.03);
+  BOOST_TEST(demand.HigherPriorityShare(name_hash, 3, start) > 0.9);
+  BOOST_TEST(demand.HigherPriorityShare(name_hash, 0, start) == 0);
 }
 
-// Of a less urgent kind some requests are ten times as large as others. Were
-// each to leave a part by its own size, the callers of the large ones would be
-// refused far more often than the rest of their kind.
-BOOST_AUTO_TEST_CASE(TheLargestOfAKindAreNotRefusedMoreOften) {
+// Of a less urgent kind some requests are ten times as large as others. If each
+// had to leave a share by its own size, the large ones would be refused far
+// more often than the rest of their kind.
+BOOST_AUTO_TEST_CASE(LargeRequestsOfARankAreNotRefusedMoreOften) {
   Demand demand;
   Quotas quotas(kTolerance);
   absl::Time now = start;
-  quotas.Configure({Limited(kRate, kRate)}, now);
+  quotas.Configure({MakeLimitedWorkspace(kRate, kRate)}, now);
   int asked[2] = {};
   int served[2] = {};
   for (int i = 0; i < 4000; ++i) {
@@ -454,11 +457,11 @@
     for (const int rank : {0, 1}) {
       const bool large = i % 10 == 0;
       const double tokens = rank == 0 ? 4000 : large ? 8000 : 800;
-      demand.RecordRequest(workspace_name, rank, tokens, now);
+      demand.RecordRequest(name_hash, rank, tokens, now);
       const double kept =
-          0.5 * demand.HigherPriorityShare(workspace_name, rank, now);
+          0.5 * demand.HigherPriorityShare(name_hash, rank, now);
       const bool refused =
-          quotas.Take(workspace_name, tokens, kept, now).has_value();
+          quotas.Take(name_hash, tokens, kept, now).has_value();
       if (rank == 0) continue;
       ++asked[large ? 1 : 0];
       served[large ? 1 : 0] += refused ? 0 : 1;
@@ -469,67 +472,67 @@
   BOOST_TEST(large_part > 0.5 * small_part);
 }
 
-// A request is refused before it was sent anywhere. Its tokens go back, here
-// and at the other hosts; a caller who comes back would pay twice.
-BOOST_AUTO_TEST_CASE(WhatWasNotSentIsGivenBackEverywhere) {
+// A request is refused before it was sent to a server. Its tokens must be
+// refunded at all hosts, or a caller that retries would pay twice.
+BOOST_AUTO_TEST_CASE(UnsentRequestsAreRefundedEverywhere) {
   Demand demand;
   FleetNews news;
   news.sender.host = "h";
   news.period_ms = 100;
   news.incarnation = 5;
   news.sequence = 1;
-  news.workspaces = {{workspace_name, 0, 1000, 0}};
+  news.workspaces = {{name_hash, 0, 1000, 0}};
   demand.OnPeerUpdate(news, start);
   news.sequence = 2;
-  news.workspaces = {{workspace_name, 0, 1500, 200}};
+  news.workspaces = {{name_hash, 0, 1500, 200}};
   BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == 300);
   news.sequence = 3;
-  news.workspaces = {{workspace_name, 0, 1500, 500}};
+  news.workspaces = {{name_hash, 0, 1500, 500}};
   BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == -300);
 
   Quotas quotas(0);
-  quotas.Configure({Limited(1000, 1000)}, start);
-  BOOST_TEST(!quotas.Take(workspace_name, 5000, 0, start).has_value());
-  BOOST_TEST(quotas.Take(workspace_name, 100, 0, start).has_value());
-  quotas.Refund(workspace_name, 5000, start);
-  BOOST_TEST(!quotas.Take(workspace_name, 100, 0, start).has_value());
+  quotas.Configure({MakeLimitedWorkspace(1000, 1000)}, start);
+  BOOST_TEST(!quotas.Take(name_hash, 5000, 0, start).has_value());
+  BOOST_TEST(quotas.Take(name_hash, 100, 0, start).has_value());
+  quotas.Refund(name_hash, 5000, start);
+  BOOST_TEST(!quotas.Take(name_hash, 100, 0, start).has_value());
 }
 
-// Of two hundred hosts and twenty workspaces few pairs have callers. Once all
-// hosts are heard, telling of the others would only make messages long.
-BOOST_AUTO_TEST_CASE(QuietHostsTellOfNoLimits) {
+// Of two hundred hosts and twenty workspaces few pairs have demand. Once all
+// hosts are reachable, publishing the others would only lengthen messages.
+BOOST_AUTO_TEST_CASE(IdleHostsPublishNoLimits) {
   Demand demand;
   demand.RaiseHostCount(2);
-  demand.UpdateShares({workspace_name}, start);
+  demand.UpdateShares({name_hash}, start);
   BOOST_TEST(demand.BuildUpdate(start).front().part == 0.5F);
   FleetNews news;
   news.sender.host = "h";
   news.period_ms = 100;
   demand.OnPeerUpdate(news, start);
-  demand.UpdateShares({workspace_name}, start);
+  demand.UpdateShares({name_hash}, start);
   BOOST_TEST(demand.BuildUpdate(start).empty());
-  demand.RecordRequest(workspace_name, /*rank=*/0, 100, start);
+  demand.RecordRequest(name_hash, /*rank=*/0, 100, start);
   BOOST_TEST(demand.BuildUpdate(start).size() == 1);
 }
 
-// A host that is heard for the first time has let through much before; that is
-// not spent again. After its restart everything it tells is new.
-BOOST_AUTO_TEST_CASE(OnlyWhatIsNewIsSpent) {
+// A host's first message counts tokens of a long time before, which must not be
+// charged again. After the host's restart all that it publishes is new.
+BOOST_AUTO_TEST_CASE(OnlyNewUseIsCharged) {
   Demand demand;
   FleetNews news;
   news.sender.host = "h";
   news.period_ms = 100;
   news.incarnation = 5;
   news.sequence = 1;
-  news.workspaces = {{workspace_name, 0, 1000}};
+  news.workspaces = {{name_hash, 0, 1000}};
   BOOST_TEST(demand.OnPeerUpdate(news, start).empty());
   news.sequence = 2;
-  news.workspaces = {{workspace_name, 0, 1300}};
+  news.workspaces = {{name_hash, 0, 1300}};
   BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == 300);
   BOOST_TEST(demand.OnPeerUpdate(news, start).empty());
   news.incarnation = 6;
   news.sequence = 1;
-  news.workspaces = {{workspace_name, 0, 40}};
+  news.workspaces = {{name_hash, 0, 40}};
   BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == 40);
 }
 
--- a/src/gateway/directory.cc
+++ b/src/gateway/directory.cc
@@ -63,9 +63,8 @@
 
 std::vector<ServerEntry> Directory::ServersOf(const ServiceId& service) const {
   std::vector<ServerEntry> servers;
-  for (const auto& [key, registration] : entries_) {
-    if (registration.entry.service == service)
-      servers.push_back(registration.entry);
+  for (const auto& [key, row] : entries_) {
+    if (row.entry.service == service) servers.push_back(row.entry);
   }
   // Sorted, because decisions must not depend on the order of the hash map.
   std::sort(
@@ -76,8 +75,8 @@
 
 std::vector<ServiceId> Directory::Services() const {
   std::vector<ServiceId> services;
-  for (const auto& [key, registration] : entries_) {
-    services.push_back(registration.entry.service);
+  for (const auto& [key, row] : entries_) {
+    services.push_back(row.entry.service);
   }
   std::sort(services.begin(), services.end());
   services.erase(std::unique(services.begin(), services.end()), services.end());
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -26,7 +26,7 @@
   std::optional<ServerEntry> server;  // Set once the dispatcher granted one.
   http::TransferId transfer = 0;      // 0 unless the transfer is in progress.
   ResponseHead head;
-  bool head_received = false;
+  bool has_head = false;
   bool first_event_reported = false;  // To the dispatcher.
 };
 
@@ -55,7 +55,7 @@
 
   std::string body;  // Of a plain response, until it is complete.
   EventSplitter splitter{0};
-  bool response_started = false;  // The response's head was sent to the caller.
+  bool responding = false;  // The response's head was sent to the caller.
   absl::Time first_event = absl::InfinitePast();
 
   // Returns 0 for a plain call.
--- a/src/gateway/fake_site_test.h
+++ b/src/gateway/fake_site_test.h
@@ -1,4 +1,4 @@
-// A gateway with fake servers, callers and time, for the forwarder's tests.
+// A gateway with fake servers, callers and clock for tests of the forwarder.
 
 #ifndef GENTIANLB_GATEWAY_FAKE_SITE_TEST_H_
 #define GENTIANLB_GATEWAY_FAKE_SITE_TEST_H_
@@ -14,7 +14,7 @@
 
 namespace gentianlb::gateway {
 
-// What a caller has got.
+// Records the response to a caller.
 struct FakeCaller : http::Responder {
   void Respond(int got_status, std::vector<http::Header> got_headers,
                std::string got_body) override {
@@ -29,9 +29,9 @@
   }
   void Write(std::string_view bytes) override { body += bytes; }
   void Finish() override { complete = true; }
-  void Abort() override { cut = true; }
+  void Abort() override { aborted = true; }
   void OnGone(std::function<void()> callback) override {
-    gone = std::move(callback);
+    on_disconnect = std::move(callback);
   }
   std::size_t Backlog() const override { return 0; }
 
@@ -43,11 +43,11 @@
   std::vector<http::Header> headers;
   std::string body;
   bool complete = false;
-  bool cut = false;
-  std::function<void()> gone;
+  bool aborted = false;
+  std::function<void()> on_disconnect;
 };
 
-// What was sent to a server, to be answered by the test.
+// An attempt at a server; the test sends the response.
 struct FakeCall {
   ServerCall call;
   CallSink sink;
@@ -76,9 +76,10 @@
 
 class FakeSite {
  public:
-  // Two servers of a model service "llm" and two of a plain one, "plain".
+  // Has two servers of a model service "llm" and two of a plain service
+  // "plain".
   FakeSite() {
-    FLAGS_minloglevel = google::GLOG_FATAL;  // The tests read no lines.
+    FLAGS_minloglevel = google::GLOG_FATAL;  // The tests check no log lines.
     ServerPort port;
     port.send = [this](ServerCall call, CallSink sink) {
       calls.push_back(std::make_shared<FakeCall>());
@@ -151,10 +152,10 @@
   }
 
   std::shared_ptr<FakeCaller> SendRequest(const std::string& path,
-                                  const std::string& key = "key") {
+                                          const std::string& key = "key") {
     auto caller = std::make_shared<FakeCaller>();
     CallerRequest request;
-    request.id = RequestId("r" + std::to_string(++asked));
+    request.id = RequestId("r" + std::to_string(++requests_sent));
     request.method = "POST";
     request.host = "one.example";
     request.target = path;
@@ -182,7 +183,7 @@
   Demand demand;
   metrics::Metrics metrics;
   std::vector<std::shared_ptr<FakeCall>> calls;
-  int asked = 0;
+  int requests_sent = 0;
   std::unique_ptr<Forwarder> forwarder;
 };
 
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -13,14 +13,14 @@
 
 using schedule::EndKind;
 
-// The part of the objective by which the first event is asked of a server; the
-// rest is for the way back and for what predictions miss.
+// Fraction of the objective within which the server must send the first event.
+// The rest covers transit to the caller and prediction errors.
 constexpr double kServerObjectiveShare = 0.9;
 
-// Of what a workspace may use at once, the part that is kept for more urgent
-// requests when all that it asks for is more urgent; else in proportion. A
-// limit has no order of its own: under it cheap and long kinds would be let in
-// as they come while urgent ones are refused. Half is more than a second of a
+// Fraction of a workspace's burst that is reserved for higher priorities when
+// all of its demand has a higher priority; otherwise less in proportion. A
+// limit alone has no order: cheap and long requests would be admitted as they
+// arrive while urgent ones are refused. Half a burst is more than a second of a
 // workspace's usual use.
 constexpr double kReservedForHigherPriority = 0.5;
 
@@ -38,8 +38,8 @@
       demand_(demand),
       metrics_(metrics),
       quotas_(options_.limit_tolerance_tokens),
-      // Names of one start differ from those of the start before, which
-      // dispatchers on other hosts may still know.
+      // Ids must differ from those before a restart, which dispatchers on other
+      // hosts may still know.
       next_dispatch_id_(
           static_cast<std::uint64_t>(absl::ToUnixMicros(clock_()))) {}
 
@@ -138,7 +138,7 @@
       });
   const auto kept_responder = exchange.responder;
   Enqueue(exchange, ServerId());
-  // Last, since a caller that has left already is told of at once.
+  // Last, because it calls back at once if the caller has disconnected already.
   kept_responder->OnGone([this, id] {
     if (Exchange* disconnected = Find(id)) OnCallerDisconnected(*disconnected);
   });
@@ -176,10 +176,10 @@
                             : exchange.workspace->quota.tokens_without_count;
   const NameHash workspace = HashName(exchange.workspace->id.str());
   demand_->RecordRequest(workspace, exchange.tier.rank, tokens, clock_());
-  const double reserved_share =
+  const double reserve =
       kReservedForHigherPriority *
       demand_->HigherPriorityShare(workspace, exchange.tier.rank, clock_());
-  const auto wait = quotas_.Take(workspace, tokens, reserved_share, clock_());
+  const auto wait = quotas_.Take(workspace, tokens, reserve, clock_());
   if (!wait) {
     demand_->RecordAdmitted(workspace, tokens);
     exchange.quota_tokens = tokens;
@@ -197,31 +197,30 @@
 
 schedule::Request Forwarder::MakeDispatchRequest(const Exchange& exchange,
                                                  const ServerId& avoid) const {
-  schedule::Request dispatch_request;
-  dispatch_request.id = exchange.attempt.dispatch_id;
-  dispatch_request.host = options_.host;
+  schedule::Request request;
+  request.id = exchange.attempt.dispatch_id;
+  request.host = options_.host;
   if (exchange.workspace != nullptr) {
-    dispatch_request.workspace = exchange.workspace->id;
+    request.workspace = exchange.workspace->id;
   }
-  dispatch_request.tier = exchange.tier;
-  dispatch_request.arrival = exchange.arrival;
-  dispatch_request.deadline = exchange.deadline;
-  dispatch_request.body_bytes =
-      static_cast<std::int64_t>(exchange.request->body.size());
-  dispatch_request.avoid = avoid;
-  // Once it is missed, or the first event is out, only the deadline counts.
+  request.tier = exchange.tier;
+  request.arrival = exchange.arrival;
+  request.deadline = exchange.deadline;
+  request.body_bytes = static_cast<std::int64_t>(exchange.request->body.size());
+  request.avoid = avoid;
+  // After the objective has passed or the first event was sent, only the
+  // deadline counts.
   const absl::Time due =
       exchange.arrival + kServerObjectiveShare * exchange.route->objective;
-  if (!exchange.response_started && due > clock_())
-    dispatch_request.first_token_due = due;
+  if (!exchange.responding && due > clock_()) request.first_token_due = due;
   const auto& prompt = exchange.request->prompt;
-  if (!exchange.service->engine || !prompt) return dispatch_request;
-  dispatch_request.model = prompt->model;
-  dispatch_request.prompt_tokens = prompt->prompt_tokens;
-  dispatch_request.max_output_tokens = prompt->max_output_tokens;
-  dispatch_request.expected_output_tokens = prompt->expected_output_tokens;
-  dispatch_request.parts = prompt->parts;
-  return dispatch_request;
+  if (!exchange.service->engine || !prompt) return request;
+  request.model = prompt->model;
+  request.prompt_tokens = prompt->prompt_tokens;
+  request.max_output_tokens = prompt->max_output_tokens;
+  request.expected_output_tokens = prompt->expected_output_tokens;
+  request.parts = prompt->parts;
+  return request;
 }
 
 void Forwarder::Enqueue(Exchange& exchange, const ServerId& avoid) {
@@ -230,12 +229,12 @@
   exchange.body.clear();
   exchange.splitter.DiscardPartial();
   exchange_by_dispatch_id_[exchange.attempt.dispatch_id] = exchange.id;
-  schedule::Request dispatch_request = MakeDispatchRequest(exchange, avoid);
-  if (exchange.service->engine && dispatch_request.model.empty()) {
-    dispatch_request.model = QueueOf(exchange.service->id).default_model();
+  schedule::Request request = MakeDispatchRequest(exchange, avoid);
+  if (exchange.service->engine && request.model.empty()) {
+    request.model = QueueOf(exchange.service->id).default_model();
   }
   NotifyDispatcher(exchange.service->id,
-                   schedule::RequestArrived{std::move(dispatch_request)});
+                   schedule::RequestArrived{std::move(request)});
 }
 
 // --- Decisions ---------------------------------------------------------------
@@ -285,8 +284,9 @@
   const ServerEntry* server =
       QueueOf(exchange->service->id).FindServer(grant.server);
   if (server == nullptr || server->draining) {
-    // It left between the decision and now, or the dispatcher, on another host,
-    // has not heard of it. A server that is about to stop would cut the answer.
+    // The server left after the decision, or a dispatcher on another host
+    // doesn't know yet. A server that is about to stop would abort the
+    // response.
     return NotifyDispatcher(
         exchange->service->id,
         schedule::RequestEnded{grant.id, EndKind::kNotSent, 0, 0});
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -1,10 +1,10 @@
-// Takes callers' requests, has them ordered and placed by the dispatcher of
-// their service, sends them to backend servers and relays the answers.
+// Accepts callers' requests, has the service's dispatcher order and place them,
+// sends them to backend servers and relays the responses.
 //
-// What must hold, whatever fails: a request that may not be repeated is sent
-// once unless the first server said that it has not run it; a refusal says the
-// truth about that; an answer is whole or is visibly broken off; a caller that
-// leaves stops the work that is done for it.
+// Invariants under any failure: a request that must not run twice is sent once
+// unless the first server reported that it did not run it; a refusal states
+// correctly whether the request may have run; a response is complete or visibly
+// truncated; a caller that disconnects stops the work on its request.
 
 #ifndef GENTIANLB_GATEWAY_FORWARDER_H_
 #define GENTIANLB_GATEWAY_FORWARDER_H_
@@ -38,15 +38,15 @@
 struct ForwarderOptions {
   EntryHostId host;
   ServiceQueueOptions queue;
-  // Retries that all hosts together may save up; each has an equal part.
+  // Retries that all hosts together may accumulate; each has an equal share.
   double retry_burst = 10;
-  double limit_tolerance_tokens = 0;  // Of workspaces, over all hosts.
+  double limit_tolerance_tokens = 0;  // Above a workspace's limit, all hosts.
 };
 
-// Not thread-safe: owned by the loop's thread.
+// Not thread-safe: used by the event loop's thread only.
 class Forwarder {
  public:
-  // The pointers outlive this object.
+  // The pointers must outlive this object.
   Forwarder(ForwarderOptions options, ServerPort servers, TimerService* timers,
             std::function<absl::Time()> clock, const Directory* directory,
             Demand* demand, metrics::Metrics* metrics);
@@ -54,82 +54,88 @@
   Forwarder(const Forwarder&) = delete;
   Forwarder& operator=(const Forwarder&) = delete;
 
-  // An older version than the one in force is ignored.
+  // Ignores a version that is not newer than the one in force.
   void SetConfiguration(Configuration configuration);
 
-  // The directory has changed.
+  // Passes the directory's current servers on to the dispatchers.
   void OnServersChanged();
 
+  // Checks the request and queues or refuses it.
   void Accept(CallerRequest request,
               std::shared_ptr<http::Responder> responder);
 
-  // From now on every answer asks its caller to close the connection.
+  // From now on responses tell callers to close the connection, and requests
+  // are refused as planned.
   void Drain(const DrainPlan& plan);
 
-  // Called with a server whose address another one has taken over.
+  // Sets the callback for a server whose address belongs to another server now.
   void OnWrongServer(std::function<void(const ServerId&)> callback) {
     on_wrong_server_ = std::move(callback);
   }
 
-  // From now on requests are ordered by the dispatchers of groups where these
-  // answer; null: by this host's own.
+  // From now on the dispatchers of groups order the requests of services for
+  // which they are available. Null: only this host's dispatchers do.
   void SetGroupLink(GroupLink* groups) { groups_ = groups; }
-  // Tells this host's own dispatcher of the service, and carries out what it
-  // decides.
+  // Notifies this host's dispatcher of the service and applies its decisions.
   void NotifyLocalDispatcher(const ServiceId& service,
                              const schedule::Event& event);
-  // Carries out what the dispatcher of a group has decided.
+  // Applies a decision of a group's dispatcher.
   void ApplyDecision(const schedule::Decision& decision);
 
-  // What this host has running on each server, and knows of its pace.
+  // Returns the requests that this host runs on each server, and the server's
+  // speed as measured here.
   std::vector<ServerUse> ServerUses() const;
-  // What all others have and know.
+  // Sets the same for all peers together.
   void SetPeerUses(const absl::flat_hash_map<NameHash, ServerUse>& uses);
 
-  // Some configuration is in force.
+  // Returns whether a configuration is in force.
   bool configured() const { return index_ != nullptr; }
+  // Returns the version of the configuration in force; 0 if there is none.
   std::int64_t version() const;
   std::size_t open_requests() const { return exchanges_.size(); }
   Quotas& quotas() { return quotas_; }
 
  private:
-  // The verdict on a request before it is queued; none when it may go on.
+  // Returns the reason to refuse a request before it is queued, if any.
   std::optional<Error> Check(const Exchange& exchange) const;
+  // Takes the request's tokens from the workspace's limit. If there are too
+  // few, returns the time after which the caller may retry.
   std::optional<absl::Duration> TakeQuota(Exchange& exchange);
-  // What was taken for a request that was not sent.
+  // Refunds the tokens of a request that was not sent.
   void RefundQuota(Exchange& exchange);
 
-  // Hands the request to the dispatcher, again after a failed sending.
+  // Queues the request at the dispatcher, first or for a retry.
   void Enqueue(Exchange& exchange, const ServerId& avoid);
   schedule::Request MakeDispatchRequest(const Exchange& exchange,
                                         const ServerId& avoid) const;
 
-  // Tells the dispatchers that have to know.
+  // Notifies the group's dispatcher, or this host's if there is none.
   void NotifyDispatcher(const ServiceId& service, const schedule::Event& event);
   void ApplyDecisions(const std::vector<schedule::Decision>& decisions);
   void Apply(const schedule::Grant& grant);
   void Apply(const schedule::Refuse& refusal);
   void Apply(const schedule::Cancel& cancel);
+  // Sets the timer for the dispatcher's next wake-up.
   void ArmWakeup(const ServiceId& service, ServiceQueue& queue);
 
-  // One sending, in order.
+  // The steps of an attempt.
   void Send(Exchange& exchange, const ServerEntry& server);
   http::Reading OnHead(Exchange& exchange, ResponseHead head);
   void OnBytes(Exchange& exchange, std::string_view bytes);
   void OnTransferEnd(Exchange& exchange, http::TransferEnd end,
                      const std::string& detail);
 
-  // How a sending may end.
+  // The outcomes of an attempt.
   void OnResponseComplete(Exchange& exchange);
-  void OnAttemptShed(Exchange& exchange);
-  void OnAttemptFailed(Exchange& exchange, const std::string& detail);
-  // True when it is sent to another server.
+  void OnShed(Exchange& exchange);
+  void OnFailure(Exchange& exchange, const std::string& detail);
+  // Returns true if the request was queued again.
   bool Retry(Exchange& exchange, std::string_view reason);
-  // The server has no more to do with the sending that was under way.
+  // Records that the server has finished the current transfer.
   void FinishTransfer(Exchange& exchange);
   void FinishAttempt(Exchange& exchange, schedule::EndKind kind);
 
-  // How a request may end.
+  // The outcomes of a request.
   void FinishResponse(Exchange& exchange);
   void Refuse(Exchange& exchange, const Error& error,
               absl::Duration retry_after);
@@ -137,7 +143,7 @@
   void OnDeadlinePassed(Exchange& exchange);
   void OnCallerDisconnected(Exchange& exchange);
   void Remove(ExchangeId id);
-  // Stops what a server does for it and takes it out of the queue.
+  // Stops the server's work on the request, or removes it from the queue.
   void CancelAttempt(Exchange& exchange);
 
   void BeginStream(Exchange& exchange);
--- a/src/gateway/forwarder_attempt.cc
+++ b/src/gateway/forwarder_attempt.cc
@@ -1,5 +1,5 @@
-// The forwarder's part about one sending of a request to a server: what comes
-// back, and whether another server is tried.
+// The part of the forwarder that handles one attempt at a server: it sends the
+// request, relays the response, and decides whether to retry.
 
 #include <glog/logging.h>
 
@@ -15,16 +15,16 @@
 
 using schedule::EndKind;
 
-// A server that had no room is one of many; a third that has none either says
-// that they are all full, and each try costs the servers something.
-constexpr int kMaxShedAttempts = 2;
+// One server without free capacity is common. If a third has none either, all
+// are probably full, and each attempt costs the servers something.
+constexpr int kMaxSheds = 2;
 
-// With less time left no other server can answer, as a round trip and its queue
-// take about that.
+// With less time left no other server can respond: a round trip and its queue
+// take about that long.
 constexpr absl::Duration kMinTimeToRetry = absl::Milliseconds(20);
 
-// Progress is told to the dispatcher once in so many events: it learns the pace
-// of a server as well from a few samples, and each costs some microseconds.
+// Progress is reported to the dispatcher once per this number of events. A few
+// samples suffice to estimate a server's speed, and each costs microseconds.
 constexpr int kEventsPerProgressReport = 16;
 
 }  // namespace
@@ -32,7 +32,7 @@
 void Forwarder::Send(Exchange& exchange, const ServerEntry& server) {
   const absl::Time now = clock_();
   ++exchange.attempts;
-  exchange.quota_tokens = 0;  // From now on they are used.
+  exchange.quota_tokens = 0;  // From now on they are not refunded.
   exchange.attempt.server = server;
   LOG(INFO) << "event=sent request=" << exchange.request->id
             << " server=" << server.id
@@ -49,7 +49,7 @@
   call.last_event = exchange.splitter.last_event();
   const ExchangeId id = exchange.id;
   const int attempt_number = exchange.attempts;
-  // What comes of a sending that was given up is of no use to the next one.
+  // Ignores callbacks of an earlier attempt.
   auto current = [this, id, attempt_number]() -> Exchange* {
     Exchange* found = Find(id);
     return found != nullptr && found->attempts == attempt_number ? found
@@ -134,10 +134,10 @@
     return http::Reading::kStop;
   }
   const std::optional<ServerLoad> load = head.load;
-  exchange.attempt.head_received = true;
+  exchange.attempt.has_head = true;
   exchange.attempt.head = std::move(head);
   if (!load) return http::Reading::kGoOn;
-  // Carrying out what follows from it may end this request too.
+  // Applying the decisions that follow may finish this request too.
   const ExchangeId id = exchange.id;
   NotifyDispatcher(exchange.service->id,
                    schedule::LoadAnswered{exchange.attempt.server->id,
@@ -160,8 +160,8 @@
 }
 
 void Forwarder::BeginStream(Exchange& exchange) {
-  if (exchange.response_started) return;
-  exchange.response_started = true;
+  if (exchange.responding) return;
+  exchange.responding = true;
   exchange.first_event = clock_();
   metrics_->ObserveFirstToken(exchange.tier,
                               exchange.first_event - exchange.arrival);
@@ -194,14 +194,11 @@
         exchange.service->id,
         schedule::RequestEnded{attempt.dispatch_id, EndKind::kNotSent, 0, 0});
   }
-  if (attempt.head_received && attempt.head.not_run)
-    return OnAttemptShed(exchange);
-  if (end != http::TransferEnd::kComplete)
-    return OnAttemptFailed(exchange, detail);
+  if (attempt.has_head && attempt.head.not_run) return OnShed(exchange);
+  if (end != http::TransferEnd::kComplete) return OnFailure(exchange, detail);
   const bool failed = IsServerFailure(attempt.head.status);
   if (failed && exchange.safe_to_retry()) {
-    return OnAttemptFailed(exchange,
-                           absl::StrCat("status ", attempt.head.status));
+    return OnFailure(exchange, absl::StrCat("status ", attempt.head.status));
   }
   OnResponseComplete(exchange);
 }
@@ -221,14 +218,14 @@
 }
 
 void Forwarder::OnResponseComplete(Exchange& exchange) {
-  // A server that fails quickly must not pass for a quick one.
+  // A server that fails fast must not look like a fast server.
   const bool failed = IsServerFailure(exchange.attempt.head.status);
   FinishAttempt(exchange, failed ? EndKind::kBroken : EndKind::kComplete);
   FinishResponse(exchange);
 }
 
-// Certain: it was not run there.
-void Forwarder::OnAttemptShed(Exchange& exchange) {
+// The server did not run the request.
+void Forwarder::OnShed(Exchange& exchange) {
   const ServerId server = exchange.attempt.server->id;
   const bool wrong = exchange.attempt.head.wrong_server;
   LOG(INFO) << "event=shed request=" << exchange.request->id
@@ -240,22 +237,21 @@
   FinishAttempt(exchange, EndKind::kShed);
   if (wrong && on_wrong_server_) on_wrong_server_(server);
   if (Find(id) == nullptr) return;
-  if (exchange.shed_attempts <= kMaxShedAttempts && Retry(exchange, "not run"))
-    return;
+  if (exchange.shed_attempts <= kMaxSheds && Retry(exchange, "not run")) return;
   Refuse(exchange, {Code::kQueueFull, "the servers have no room"},
          kShortRetryAfter);
 }
 
-// It may have run there.
-void Forwarder::OnAttemptFailed(Exchange& exchange, const std::string& detail) {
+// The server may have run the request.
+void Forwarder::OnFailure(Exchange& exchange, const std::string& detail) {
   LOG(WARNING) << "event=sending-failed request=" << exchange.request->id
                << " server=" << exchange.attempt.server->id << " cause=\""
                << detail << "\" events=" << exchange.splitter.event_count()
-               << " head=" << exchange.attempt.head_received;
+               << " head=" << exchange.attempt.has_head;
   exchange.may_have_run = true;
   const ResponseHead head = exchange.attempt.head;
   const bool complete_failure =
-      exchange.attempt.head_received && IsServerFailure(head.status);
+      exchange.attempt.has_head && IsServerFailure(head.status);
   std::string body = std::move(exchange.body);
   FinishAttempt(exchange, EndKind::kBroken);
   const int executions = exchange.attempts - exchange.shed_attempts;
@@ -263,7 +259,7 @@
       Retry(exchange, "may have run")) {
     return;
   }
-  if (complete_failure && !exchange.response_started) {
+  if (complete_failure && !exchange.responding) {
     exchange.attempt.head = head;
     exchange.body = std::move(body);
     return FinishResponse(exchange);
@@ -281,7 +277,7 @@
   LOG(INFO) << "event=resend request=" << exchange.request->id
             << " after=" << avoid << " why=\"" << reason
             << "\" last_event=" << exchange.splitter.last_event();
-  if (exchange.response_started) metrics_->CountResumed();
+  if (exchange.responding) metrics_->CountResumed();
   Enqueue(exchange, avoid);
   return true;
 }
--- a/src/gateway/forwarder_finish.cc
+++ b/src/gateway/forwarder_finish.cc
@@ -1,5 +1,5 @@
-// The forwarder's part about the end of a request: the answer that its caller
-// gets, or why there is none.
+// The part of the forwarder that finishes requests: it sends the response, or
+// the reason why there is none, to the caller.
 
 #include <glog/logging.h>
 
@@ -14,8 +14,8 @@
 
 using schedule::EndKind;
 
-// The status of a refusal. One that says the request was not run, and may be
-// sent again, is 503 or 429; that it may have run is 502 or 504.
+// Returns the status of a refusal: 503 or 429 if the request was not run and
+// may be retried, 502 or 504 if it may have run.
 int StatusOf(const Error& error) {
   const CodeInfo& info = Describe(error.code);
   if (info.http_status < 500) return info.http_status;
@@ -36,7 +36,7 @@
   const absl::Time now = clock_();
   const ResponseHead& head = exchange.attempt.head;
   const bool stream = exchange.is_stream() && IsSuccess(head.status);
-  if (exchange.response_started) {
+  if (exchange.responding) {
     exchange.responder->Write(exchange.splitter.partial());
     exchange.responder->Finish();
   } else if (stream) {
@@ -79,7 +79,7 @@
 
 void Forwarder::Refuse(Exchange& exchange, const Error& error,
                        absl::Duration retry_after) {
-  if (exchange.may_have_run || exchange.response_started) {
+  if (exchange.may_have_run || exchange.responding) {
     return FailRequest(exchange, {Code::kServerBroke, error.detail});
   }
   const absl::Time now = clock_();
@@ -103,18 +103,18 @@
   Remove(exchange.id);
 }
 
-// It may have run, so that no refusal would be true.
+// For a request that may have run, so that no refusal would be true.
 void Forwarder::FailRequest(Exchange& exchange, const Error& error) {
   LOG(WARNING) << "event=given-up request=" << exchange.request->id
                << " code=" << static_cast<int>(error.code) << " cause=\""
                << error.detail << "\" sendings=" << exchange.attempts
                << " events=" << exchange.splitter.event_count()
                << " after_ms=" << Milliseconds(clock_() - exchange.arrival)
-               << " answering=" << exchange.response_started
+               << " answering=" << exchange.responding
                << " prompt_tokens=" << exchange.prompt_tokens()
                << " route=" << exchange.route->name;
   metrics_->CountCancelled(error.code);
-  if (exchange.response_started) {
+  if (exchange.responding) {
     exchange.responder->Abort();
   } else {
     RespondError(*exchange.responder, error, absl::ZeroDuration());
--- a/src/gateway/forwarder_internal.h
+++ b/src/gateway/forwarder_internal.h
@@ -1,4 +1,4 @@
-// What the parts of the forwarder share.
+// Helpers shared by the forwarder's source files.
 
 #ifndef GENTIANLB_GATEWAY_FORWARDER_INTERNAL_H_
 #define GENTIANLB_GATEWAY_FORWARDER_INTERNAL_H_
@@ -9,14 +9,14 @@
 
 namespace gentianlb::gateway {
 
-// A caller that finds no configuration or a host about to stop may find another
-// host, or this one, ready a moment later.
+// Retry-After of a host that has no configuration or is about to stop: another
+// host, or this one, may be ready a moment later.
 inline constexpr absl::Duration kShortRetryAfter = absl::Milliseconds(500);
 
 inline bool IsSuccess(int status) { return status >= 200 && status < 300; }
 inline bool IsServerFailure(int status) { return status >= 500; }
 
-// For log lines.
+// Returns whole milliseconds for log lines.
 inline std::int64_t Milliseconds(absl::Duration duration) {
   return absl::ToInt64Milliseconds(duration);
 }
--- a/src/gateway/forwarder_test.cc
+++ b/src/gateway/forwarder_test.cc
@@ -10,7 +10,7 @@
 
 using http::TransferEnd;
 
-BOOST_AUTO_TEST_CASE(BeforeAnyConfigurationCallersAreToldToComeBack) {
+BOOST_AUTO_TEST_CASE(RefusesWithRetryAfterBeforeAnyConfiguration) {
   FakeSite site;
   const auto caller = site.SendRequest("/read/1");
   BOOST_TEST(caller->status == 503);
@@ -18,7 +18,7 @@
   BOOST_TEST(!site.forwarder->configured());
 }
 
-BOOST_AUTO_TEST_CASE(UnknownPathsAndKeysAreRefused) {
+BOOST_AUTO_TEST_CASE(RefusesUnknownPathsAndKeys) {
   FakeSite site;
   site.Configure();
   BOOST_TEST(site.SendRequest("/nowhere/1")->status == 404);
@@ -27,7 +27,7 @@
   BOOST_TEST(site.calls.empty());
 }
 
-BOOST_AUTO_TEST_CASE(APlainAnswerComesWholeAndUnchanged) {
+BOOST_AUTO_TEST_CASE(APlainResponseIsRelayedUnchanged) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
@@ -57,10 +57,10 @@
   BOOST_TEST(caller->complete);
 }
 
-// A payment reaches its server and the connection breaks before the answer. It
-// may have been made; sent again, or refused as not run, it would be made
-// twice.
-BOOST_AUTO_TEST_CASE(APaymentThatMayHaveRunIsNotRepeatedNorRefused) {
+// A payment reaches its server, and the connection breaks before the response.
+// The payment may have been made: a retry, or a refusal that says "not run",
+// would cause a second one.
+BOOST_AUTO_TEST_CASE(APaymentThatMayHaveRunIsNeitherRetriedNorRefused) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
@@ -70,8 +70,9 @@
   BOOST_TEST(caller->header("Retry-After").empty());
 }
 
-// The server says that it has no room and has not run it. Another one may.
-BOOST_AUTO_TEST_CASE(WhatAServerHasNotRunGoesToAnother) {
+// A server reports that it has no capacity and did not run the request. Another
+// server may run it.
+BOOST_AUTO_TEST_CASE(ARequestThatWasNotRunIsRetriedElsewhere) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
@@ -84,9 +85,9 @@
   BOOST_TEST(caller->body == "paid");
 }
 
-// All servers say that they have no room. The caller is told the truth: not
-// run, and when to come back.
-BOOST_AUTO_TEST_CASE(WhatNoServerHasRunIsRefusedTruthfully) {
+// All servers report that they have no capacity. The refusal must say that the
+// request was not run, and when to retry.
+BOOST_AUTO_TEST_CASE(ARequestThatNoServerRanIsRefusedAsNotRun) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
@@ -100,9 +101,9 @@
   BOOST_TEST(!caller->header("Retry-After").empty());
 }
 
-// One server may have run it, the next says that it has not. "Not run" would be
-// a lie.
-BOOST_AUTO_TEST_CASE(AfterAnUnknownOutcomeNothingIsSaidToBeNotRun) {
+// One server may have run the request, and the next reports that it did not. A
+// refusal that says "not run" would be false.
+BOOST_AUTO_TEST_CASE(AfterAnUnknownOutcomeNoRefusalSaysNotRun) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/read/1");
@@ -116,35 +117,35 @@
   BOOST_TEST(caller->status == 502);
 }
 
-BOOST_AUTO_TEST_CASE(AnIdempotentCallIsRepeatedWithinItsAttempts) {
+BOOST_AUTO_TEST_CASE(AnIdempotentCallIsRetriedWithinItsAttempts) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/read/1");
   site.last().End(TransferEnd::kBroken);
   BOOST_REQUIRE(site.calls.size() == 2u);
   site.last().Answer(500, "broken");
-  // Two servers were tried, as the route allows: the last answer is passed on.
+  // Two attempts were made, as the route allows: the last response is relayed.
   BOOST_TEST(site.calls.size() == 2u);
   BOOST_TEST(caller->status == 500);
   BOOST_TEST(caller->body == "broken");
 }
 
-// Ninety hosts share what the operators allow as a burst of repeats. Were each
-// to save up as much as one of a dozen, a fault of one server would be answered
-// by several times the allowed repeats, all at once.
+// Ninety hosts share the burst of retries that the operators allow. If each
+// accumulated as many as one host of a dozen, a fault of one server would cause
+// several times the allowed retries at once.
 BOOST_AUTO_TEST_CASE(ManyHostsShareTheRetryBurst) {
   FakeSite site;
   site.demand.RaiseHostCount(90);
   site.Configure();
   const auto caller = site.SendRequest("/read/1");
   site.last().End(TransferEnd::kBroken);
-  BOOST_TEST(site.calls.size() == 1u);  // A thirtieth of a repeat was saved.
+  BOOST_TEST(site.calls.size() == 1u);  // 1/30 of a retry is available.
   BOOST_TEST(caller->status == 502);
 }
 
-// A connection could not be made: nothing was sent, so even a payment may go
-// elsewhere.
-BOOST_AUTO_TEST_CASE(WhatWasNeverSentGoesElsewhere) {
+// A connection could not be made, so nothing was sent: even a payment may be
+// retried.
+BOOST_AUTO_TEST_CASE(ARequestThatWasNotSentIsRetriedElsewhere) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
@@ -155,9 +156,9 @@
   BOOST_TEST(caller->status == 200);
 }
 
-// A server dies in the middle of a stream. The caller gets the rest from
-// another one, within the same answer and under the first one's head.
-BOOST_AUTO_TEST_CASE(AResumableStreamGoesOnElsewhere) {
+// A server fails in the middle of a stream. The caller must get the rest from
+// another server, in the same response and under the first one's head.
+BOOST_AUTO_TEST_CASE(AResumableStreamResumesOnAnotherServer) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/resume/1");
@@ -173,11 +174,11 @@
   BOOST_TEST(caller->body == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   BOOST_TEST(caller->header("X-From") == first);
   BOOST_TEST(caller->complete);
-  BOOST_TEST(!caller->cut);
+  BOOST_TEST(!caller->aborted);
 }
 
-// The same on a route that doesn't allow it: the answer must be seen to be cut.
-BOOST_AUTO_TEST_CASE(AStreamThatCannotGoOnIsVisiblyCut) {
+// On a route that doesn't allow resumption the response must be aborted.
+BOOST_AUTO_TEST_CASE(AStreamThatCannotResumeIsAborted) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/stream/1");
@@ -185,13 +186,13 @@
   site.last().Data("id: 1\ndata: a\n\n");
   site.last().End(TransferEnd::kBroken);
   BOOST_TEST(site.calls.size() == 1u);
-  BOOST_TEST(caller->cut);
+  BOOST_TEST(caller->aborted);
   BOOST_TEST(!caller->complete);
 }
 
-// The late answer to an earlier request comes on the connection where this
-// one's is due. Its caller must not get what belongs to another caller.
-BOOST_AUTO_TEST_CASE(AnotherRequestsAnswerIsNotPassedOn) {
+// The late response to an earlier request arrives where this request's response
+// is due. It must not be relayed to the wrong caller.
+BOOST_AUTO_TEST_CASE(AnotherRequestsResponseIsNotRelayed) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
@@ -205,12 +206,12 @@
   BOOST_TEST(caller->body.find("paid") == std::string::npos);
 }
 
-// The caller hangs up; the server's work for it is stopped at once.
-BOOST_AUTO_TEST_CASE(ACallerThatLeavesStopsTheWork) {
+// The caller disconnects. The server's work on its request must stop at once.
+BOOST_AUTO_TEST_CASE(ADisconnectedCallersRequestIsCancelled) {
   FakeSite site;
   site.Configure();
   const auto sent = site.SendRequest("/stream/1");
-  sent->gone();
+  sent->on_disconnect();
   BOOST_TEST(site.last().cancelled);
   BOOST_TEST(site.forwarder->open_requests() == 0u);
   for (const ServerUse& use : site.forwarder->ServerUses()) {
@@ -218,9 +219,9 @@
   }
 }
 
-// The route's time is over and the server still works. The caller gets its
-// final answer then, and the work stops.
-BOOST_AUTO_TEST_CASE(AtItsTimeoutARequestGetsItsFinalAnswer) {
+// The server is still running the request when the route's timeout passes. The
+// caller must get a final response, and the work must stop.
+BOOST_AUTO_TEST_CASE(AtItsTimeoutARequestGetsAFinalResponse) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
@@ -231,26 +232,26 @@
   site.last().Head(200);
   site.last().Data("id: 1\ndata: a\n\n");
   site.AdvanceTime(absl::Seconds(5));
-  BOOST_TEST(stream->cut);
+  BOOST_TEST(stream->aborted);
 }
 
-// All servers of a service are full and stay so. Who can't be served within a
-// part of his time is told at once to come back; the others wait, and nobody is
-// left without an answer when his time is over.
-BOOST_AUTO_TEST_CASE(InOverloadEveryoneIsAnsweredInTime) {
+// All servers of a service are full and stay so. Requests that can't be served
+// within a fraction of their time must be refused at once; the others wait, and
+// each must have a response when its time is over.
+BOOST_AUTO_TEST_CASE(InOverloadEveryRequestGetsAResponseInTime) {
   FakeSite site;
   site.Configure();
   std::vector<std::shared_ptr<FakeCaller>> callers;
   callers.reserve(60);
   for (int i = 0; i < 60; ++i) callers.push_back(site.SendRequest("/stream/1"));
   BOOST_TEST(site.calls.size() == 4u);  // Two servers with two streams each.
-  auto answered = [&] {
+  auto completed = [&] {
     return std::count_if(callers.begin(), callers.end(),
                          [](const auto& caller) { return caller->complete; });
   };
-  BOOST_TEST(answered() > 20);  // Refused at once.
+  BOOST_TEST(completed() > 20);  // The refused ones.
   site.AdvanceTime(absl::Seconds(5));
-  BOOST_TEST(answered() == 60);
+  BOOST_TEST(completed() == 60);
   for (const auto& caller : callers) {
     const bool refused = caller->status == 503;
     BOOST_TEST((refused || caller->status == 504));
@@ -258,7 +259,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnOlderConfigurationNeverComesIntoForce) {
+BOOST_AUTO_TEST_CASE(AnOlderConfigurationIsIgnored) {
   FakeSite site;
   site.Configure(5);
   Configuration older = FakeSite::MakeConfiguration(4);
@@ -269,9 +270,9 @@
   BOOST_TEST(site.calls.size() == 1u);
 }
 
-// A route is removed while a request on it is under way. The request ends as it
-// began; the next one is refused.
-BOOST_AUTO_TEST_CASE(ARequestKeepsTheVersionItBeganWith) {
+// A route is removed while one of its requests is in progress. That request
+// must finish by the old version; the next one is refused.
+BOOST_AUTO_TEST_CASE(ARequestKeepsItsConfigurationVersion) {
   FakeSite site;
   site.Configure(5);
   const auto before = site.SendRequest("/read/1");
@@ -280,21 +281,22 @@
   site.forwarder->SetConfiguration(std::move(next));
   BOOST_TEST(site.SendRequest("/read/1")->status == 404);
   site.last().End(TransferEnd::kBroken);
-  BOOST_REQUIRE(site.calls.size() == 2u);  // Repeated as its route allows.
+  BOOST_REQUIRE(site.calls.size() == 2u);  // Retried as its route allows.
   site.last().Answer(200, "read");
   BOOST_TEST(before->status == 200);
 }
 
-// A server reports that it will leave. Nothing new goes there; what it does is
-// finished.
-BOOST_AUTO_TEST_CASE(ADrainingServerGetsNothingNew) {
+// A server reports that it will leave. It must get no new requests, and those
+// in progress must finish.
+BOOST_AUTO_TEST_CASE(ADrainingServerGetsNoNewRequests) {
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
   const std::string leaving = site.last().server();
   ServerEntry entry;
-  for (const ServerEntry& one : site.directory.ServersOf(ServiceId("plain"))) {
-    if (one.id.str() == leaving) entry = one;
+  for (const ServerEntry& entry_of_service :
+       site.directory.ServersOf(ServiceId("plain"))) {
+    if (entry_of_service.id.str() == leaving) entry = entry_of_service;
   }
   entry.draining = true;
   site.directory.Update(leaving, entry, site.now);
@@ -307,8 +309,8 @@
   BOOST_TEST(caller->status == 200);
 }
 
-// Another server has the address now. It is asked nothing more under that name.
-BOOST_AUTO_TEST_CASE(AWrongServerIsReported) {
+// Another server has the address now. The first must get no more requests.
+BOOST_AUTO_TEST_CASE(AServerAtAWrongAddressIsReported) {
   FakeSite site;
   site.Configure();
   std::string reported;
@@ -327,14 +329,14 @@
   BOOST_TEST(caller->status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(WhileDrainingAnswersCloseTheirConnection) {
+BOOST_AUTO_TEST_CASE(WhileDrainingResponsesCloseTheirConnection) {
   FakeSite site;
   site.Configure();
   const auto before = site.SendRequest("/pay/1");
   site.forwarder->Drain(PlanDrain(site.now, absl::Seconds(8)));
   site.last().Answer(200, "paid");
   BOOST_TEST(before->header("Connection") == "close");
-  // What may last is refused first, then everything.
+  // Streams are refused first, then all requests.
   site.AdvanceTime(absl::Seconds(4));
   BOOST_TEST(site.SendRequest("/stream/1")->status == 503);
   const auto call = site.SendRequest("/pay/1");
@@ -344,13 +346,13 @@
   BOOST_TEST(site.SendRequest("/pay/1")->status == 503);
 }
 
-// The dispatcher of a group, on another host, has not yet heard that a server
-// leaves, and grants it. This host knows: sent there, the answer would be cut
-// when the server ends.
+// A group's dispatcher on another host doesn't know yet that a server leaves,
+// and grants it. This host knows, and must not send the request there: the
+// response would be aborted when the server stops.
 BOOST_AUTO_TEST_CASE(AGrantOfALeavingServerIsNotSent) {
   FakeSite site;
   site.Configure();
-  // All streams are taken, so that the fifth waits.
+  // All streams are in use, so that the fifth request waits.
   for (int i = 0; i < 5; ++i) site.SendRequest("/read/1");
   BOOST_REQUIRE(site.calls.size() == 4u);
   ServerEntry leaving;
@@ -361,21 +363,21 @@
   leaving.draining = true;
   site.directory.Update("plain-b", leaving, site.now);
   site.forwarder->OnServersChanged();
-  // The host counts its requests from the time of its start.
+  // Ids of requests at dispatchers begin at the forwarder's start time.
   const std::int64_t fifth = absl::ToUnixMicros(site.now) + 4;
   const RequestId id(std::to_string(fifth));
   site.forwarder->ApplyDecision(
       schedule::Grant{id, EntryHostId("h"), ServerId("plain-b")});
   BOOST_TEST(site.calls.size() == 4u);
-  // The same of a server that stays is sent, so that the name is right.
+  // A grant of another server is sent, which shows that the id is right.
   site.forwarder->ApplyDecision(
       schedule::Grant{id, EntryHostId("h"), ServerId("plain-a")});
   BOOST_TEST(site.calls.size() == 5u);
 }
 
-// No server is there, and a caller comes back as it was told to. Were each try
-// charged, the third would be refused for the limit though nothing ever ran.
-BOOST_AUTO_TEST_CASE(WhatIsRefusedUnsentCostsNothingOfTheLimit) {
+// No server is available, and a caller retries as advised. If each refused
+// request were charged, the third would exceed the limit though none ever ran.
+BOOST_AUTO_TEST_CASE(ARefusedRequestIsNotChargedToTheLimit) {
   FakeSite site;
   Configuration configuration = FakeSite::MakeConfiguration(1);
   configuration.workspaces[0].quota = {.tokens_per_second = 1,
@@ -384,7 +386,7 @@
   for (int i = 0; i < 5; ++i) {
     BOOST_TEST(site.SendRequest("/stream/1")->status == 503);
   }
-  // Sent to a server they do cost.
+  // A request that was sent to a server is charged.
   site.AddServer("llm-a", "llm", 2);
   site.forwarder->OnServersChanged();
   site.SendRequest("/stream/1");
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -8,23 +8,23 @@
 namespace gentianlb::gateway {
 namespace {
 
-// Lines that a killed process takes with it are those of the last moments.
+// A killed process loses the log lines of one interval.
 constexpr absl::Duration kLogFlushInterval = absl::Milliseconds(200);
 
-// While draining: how long a connection may be idle, and how often the host
-// looks whether it is done.
+// While draining: the connections' idle timeout, and the interval of checks
+// whether the host has drained.
 constexpr absl::Duration kDrainIdleTimeout = absl::Seconds(1);
 constexpr absl::Duration kDrainCheckInterval = absl::Milliseconds(50);
 
-// What callers may send, at the most; today's operators allow just this.
+// Limits of a caller's request, as configured by current operators.
 constexpr std::size_t kMaxHeaderBytes = 16 << 10;
 constexpr std::size_t kMaxBodyBytes = 4 << 20;
 
-// Callers' connections beyond this are not taken; each costs some kilobytes.
+// Further callers' connections are not accepted; each takes some kilobytes.
 constexpr unsigned kMaxCallerConnections = 1500;
 
-// A part below the bound, since retries and the requests that earn them are
-// not counted at the same moment by those who check.
+// Fraction of the retry limit that is used, since a check of the limit may
+// count retries and the requests that earn them at different moments.
 constexpr double kRetryShare = 0.75;
 
 std::uint64_t SeedOf(const settings::GatewaySettings& settings) {
@@ -126,7 +126,7 @@
   if (auto error = host->Listen()) return *error;
   if (auto error = host->MeetPeers()) return *error;
   host->forwarder_.OnWrongServer([self = host.get()](const ServerId& server) {
-    // Whatever its registration says, another server answers there.
+    // Another server responds at this address, whatever the registration says.
     if (self->directory_.Update(server.str(), std::nullopt,
                                 self->loop_->now())) {
       self->OnServersChanged();
@@ -218,28 +218,30 @@
 bool Host::ready() const { return initialized() && !draining_; }
 
 std::string Host::BuildMetricsText() {
-  metrics_.Set("gentianlb_configuration_version", "In force", {},
+  metrics_.Set("gentianlb_configuration_version",
+               "Version of the configuration in force", {},
                static_cast<double>(forwarder_.version()));
-  metrics_.Set("gentianlb_open_requests", "Being served", {},
+  metrics_.Set("gentianlb_open_requests", "Requests in progress", {},
                static_cast<double>(forwarder_.open_requests()));
-  metrics_.Set("gentianlb_callers", "Open connections", {},
+  metrics_.Set("gentianlb_callers", "Open connections of callers", {},
                static_cast<double>(callers_->open_connections()));
   metrics_.Set("gentianlb_servers", "Registered backend servers", {},
                static_cast<double>(directory_.size()));
-  metrics_.Set("gentianlb_ready", "1 when callers may come", {},
+  metrics_.Set("gentianlb_ready", "1 when the host is ready for callers", {},
                ready() ? 1 : 0);
   for (const TableFollower* follower : {&configuration_, &servers_}) {
     const prometheus::Labels table = {{"table", follower->table()}};
     metrics_.Set("gentianlb_table_up", "1 while the table service answers",
                  table, follower->up() ? 1 : 0);
     metrics_.Set("gentianlb_table_follows",
-                 "1 while this host asks the service itself", table,
+                 "1 while this host polls the table service itself", table,
                  follower->follows() ? 1 : 0);
     metrics_.Set("gentianlb_table_behind_seconds",
-                 "Since a change is known of that isn't here", table,
+                 "Time since a change became known that this host lacks", table,
                  absl::ToDoubleSeconds(follower->Behind()));
   }
-  metrics_.Set("gentianlb_log_lines_left_out", "For the log's bound", {},
+  metrics_.Set("gentianlb_log_lines_left_out",
+               "Log lines dropped at the log's size limit", {},
                static_cast<double>(log_->left_out()));
   return metrics_.Text();
 }
--- a/src/gateway/host.h
+++ b/src/gateway/host.h
@@ -1,6 +1,6 @@
-// An entry host as a gateway on a platform: takes callers' connections, keeps
-// up with the configuration and the servers, says whether it is ready, and
-// drains. Everything runs on one event loop.
+// An entry host as a gateway on a platform: accepts callers' connections,
+// follows changes of configuration and servers, reports readiness, and drains.
+// Runs on one event loop.
 
 #ifndef GENTIANLB_GATEWAY_HOST_H_
 #define GENTIANLB_GATEWAY_HOST_H_
@@ -29,16 +29,16 @@
 
 namespace gentianlb::gateway {
 
-// What an adapter to a platform provides.
+// The functions and names that a platform's adapter provides.
 struct Platform {
   std::function<Outcome<CallerRequest>(http::Request)> read_request;
   ServerPort servers;
   TablePort table;
-  // Where the operator's configuration and the servers' registrations stand.
+  // The rows of the operators' configuration and of the servers' registrations.
   std::string configuration_table;
   std::string configuration_key;
   std::string server_table;
-  std::string host_table;  // Of this system's own.
+  std::string host_table;  // The entry hosts' own.
   std::function<Outcome<Configuration>(std::string_view row)>
       read_configuration;
   std::function<Outcome<ServerEntry>(const std::string& key,
@@ -48,7 +48,7 @@
 
 class Host {
  public:
-  // `loop` and `log` outlive the host.
+  // `loop` and `log` must outlive the host.
   static Outcome<std::unique_ptr<Host>> Start(
       const settings::GatewaySettings& settings, Platform platform,
       loop::EventLoop* loop, log::BoundedLog* log);
@@ -56,11 +56,12 @@
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
 
-  // Takes no more callers, finishes what is in progress, and stops the loop.
+  // Begins the shutdown: refuses requests as planned by PlanDrain(), finishes
+  // those in progress, and stops the loop.
   void Drain();
 
   bool ready() const;
-  // Whether there is a configuration, and a list of servers.
+  // Returns whether the configuration and the list of servers have arrived.
   bool initialized() const;
   std::uint16_t callers_port() const { return callers_->port(); }
   std::uint16_t ready_port() const { return ready_->port(); }
@@ -74,7 +75,7 @@
   void ComposeNews(FleetNews* news);
   void TakeOthers(const FleetNews& others);
   void TakeOther(std::string_view bytes);
-  // Lets what was heard, or wasn't, come into force.
+  // Applies the current state of the peers to limits and table sharing.
   void UseNews(absl::Time now);
   void SendChanges(const std::vector<std::string>& hosts,
                    const TableChanges& changes);
--- a/src/gateway/quota.cc
+++ b/src/gateway/quota.cc
@@ -97,15 +97,13 @@
 }
 
 std::optional<absl::Duration> Quotas::Take(NameHash workspace, double tokens,
-                                           double reserved_share,
-                                           absl::Time now) {
+                                           double reserve, absl::Time now) {
   const auto found = buckets_.find(workspace);
   if (found == buckets_.end()) return std::nullopt;
   Bucket& bucket = found->second;
   AdvanceBucket(&bucket, now);
-  const double reserved =
-      reserved_share * BurstCapacity(bucket.quota) * bucket.share +
-      bucket.unreported.tokens();
+  const double reserved = reserve * BurstCapacity(bucket.quota) * bucket.share +
+                          bucket.unreported.tokens();
   if (bucket.tokens.level() <= reserved) {
     // Not before the peers' use is known here.
     return std::max(bucket.tokens.UntilFilled(reserved),
--- a/src/gateway/quota.h
+++ b/src/gateway/quota.h
@@ -51,12 +51,12 @@
   // Returns the workspaces that have a limit.
   std::vector<NameHash> LimitedWorkspaces() const;
 
-  // Takes `tokens` if the bucket holds more than the fraction `reserved_share`
+  // Takes `tokens` if the bucket holds more than the fraction `reserve`
   // of its capacity plus the peers' unreported use. Otherwise takes nothing and
   // returns the time after which the caller may retry. One request may overdraw
   // the limit: else a request larger than the capacity could never run.
   std::optional<absl::Duration> Take(NameHash workspace, double tokens,
-                                     double reserved_share, absl::Time now);
+                                     double reserve, absl::Time now);
 
   // Returns tokens that were taken but not used.
   void Refund(NameHash workspace, double tokens, absl::Time now);
--- a/src/gateway/quota_test.cc
+++ b/src/gateway/quota_test.cc
@@ -9,13 +9,13 @@
 namespace gentianlb::gateway {
 namespace {
 
-const NameHash workspace_name = HashName("w");
+const NameHash name_hash = HashName("w");
 constexpr int kHosts = 195;
 constexpr double kRate = 640'000;  // Tokens per second.
 constexpr double kTolerance = 140'000;
-constexpr double kRequestTokens = 5'000;  // Tokens.
+constexpr double kRequest = 5'000;  // Tokens.
 constexpr absl::Duration kStep = absl::Milliseconds(1);
-constexpr absl::Duration kUpdatePeriod = absl::Milliseconds(100);
+constexpr absl::Duration kPeriod = absl::Milliseconds(100);
 // Until a host knows what a peer has admitted.
 constexpr absl::Duration kReportDelay = absl::Milliseconds(200);
 
@@ -30,17 +30,15 @@
     workspace.quota = {kRate, kRate, 1};
     for (Quotas& host : hosts_) {
       host.Configure({workspace}, now_);
-      host.SetPeerDemand(workspace_name, {load * kRate, kReportDelay}, now_);
+      host.SetPeerDemand(name_hash, {load * kRate, kReportDelay}, now_);
     }
   }
 
   void Run(absl::Duration span) {
     for (const absl::Time end = now_ + span; now_ < end; now_ += kStep) {
-      if ((now_ - absl::UnixEpoch()) % kUpdatePeriod == absl::ZeroDuration())
-        DeliverUses();
-      pending_tokens_ += load_ * kRate * absl::ToDoubleSeconds(kStep);
-      for (; pending_tokens_ > 0; pending_tokens_ -= kRequestTokens)
-        SendRequest(random_() % kHosts);
+      if ((now_ - absl::UnixEpoch()) % kPeriod == absl::ZeroDuration()) Sync();
+      pending_ += load_ * kRate * absl::ToDoubleSeconds(kStep);
+      for (; pending_ > 0; pending_ -= kRequest) Send(random_() % kHosts);
     }
   }
 
@@ -53,31 +51,29 @@
     std::size_t host;
   };
 
-  void SendRequest(std::size_t host) {
-    if (hosts_[host].Take(workspace_name, kRequestTokens, /*kept=*/0, now_))
-      return;
-    total_ += kRequestTokens;
+  void Send(std::size_t host) {
+    if (hosts_[host].Take(name_hash, kRequest, /*reserve=*/0, now_)) return;
+    total_ += kRequest;
     unreported_.push_back({now_, host});
     last_second_.push_back(now_);
     while (now_ - last_second_.front() > absl::Seconds(1)) {
       last_second_.pop_front();
     }
-    max_in_a_second_ =
-        std::max(max_in_a_second_,
-                 kRequestTokens * static_cast<double>(last_second_.size()));
+    max_in_a_second_ = std::max(
+        max_in_a_second_, kRequest * static_cast<double>(last_second_.size()));
   }
 
-  void DeliverUses() {
+  void Sync() {
     std::vector<double> own_use(kHosts);
     double total_use = 0;
     while (!unreported_.empty() &&
            now_ - unreported_.front().at >= kReportDelay) {
-      own_use[unreported_.front().host] += kRequestTokens;
-      total_use += kRequestTokens;
+      own_use[unreported_.front().host] += kRequest;
+      total_use += kRequest;
       unreported_.pop_front();
     }
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
-      hosts_[i].Charge(workspace_name, total_use - own_use[i], now_);
+      hosts_[i].Charge(name_hash, total_use - own_use[i], now_);
     }
   }
 
@@ -85,7 +81,7 @@
   std::vector<Quotas> hosts_;
   std::mt19937_64 random_{1};
   absl::Time now_ = absl::UnixEpoch();
-  double pending_tokens_ = 0;
+  double pending_ = 0;
   double total_ = 0;
   std::deque<Admission> unreported_;
   std::deque<absl::Time> last_second_;
@@ -116,17 +112,17 @@
   absl::Time now = absl::UnixEpoch();
   Quotas quotas(kTolerance);
   quotas.Configure({workspace}, now);
-  quotas.SetPeerDemand(workspace_name, {6 * kRate, kReportDelay}, now);
+  quotas.SetPeerDemand(name_hash, {6 * kRate, kReportDelay}, now);
   now += absl::Seconds(1);
-  BOOST_TEST(quotas.Take(workspace_name, kRequestTokens, 0, now).has_value());
-  quotas.SetShare(workspace_name, kShare, now);
-  quotas.SetPeerDemand(workspace_name, {}, now);
+  BOOST_TEST(quotas.Take(name_hash, kRequest, 0, now).has_value());
+  quotas.SetShare(name_hash, kShare, now);
+  quotas.SetPeerDemand(name_hash, {}, now);
   int served = 0;
   for (int i = 0; i < 100; ++i) {
     now += absl::Milliseconds(100);
-    if (!quotas.Take(workspace_name, kRequestTokens, 0, now)) ++served;
+    if (!quotas.Take(name_hash, kRequest, 0, now)) ++served;
   }
-  BOOST_TEST(served * kRequestTokens > 0.7 * kShare * kRate * 10);
+  BOOST_TEST(served * kRequest > 0.7 * kShare * kRate * 10);
 }
 
 // Below the limit, the peers' estimated use must not cause a refusal.
