--- a/src/gateway/demand_test.cc
+++ b/src/gateway/demand_test.cc
@@ -109,13 +109,13 @@
     fleet_.lost_per_thousand = 20;
     fleet_.Add(hosts, zones);
     for (auto& [name, host] : fleet_.hosts) {
-      FakeHost* fake = &fakes_[name];
-      fake->Start(MakeLimitedWorkspace(rate_, rate_), hosts_, fleet_.now);
-      host.compose = [this, fake](FleetNews* own) {
-        own->workspaces = fake->demand.BuildUpdate(fleet_.now);
+      FakeHost* fake_host = &fake_hosts_[name];
+      fake_host->Start(MakeLimitedWorkspace(rate_, rate_), hosts_, fleet_.now);
+      host.compose = [this, fake_host](FleetNews* own) {
+        own->workspaces = fake_host->demand.BuildUpdate(fleet_.now);
       };
-      host.on_others = [this, fake](const FleetNews& update) {
-        fake->OnPeerUpdate(update, fleet_.now);
+      host.on_others = [this, fake_host](const FleetNews& update) {
+        fake_host->OnPeerUpdate(update, fleet_.now);
       };
     }
     // Hosts know each other before the first request.
@@ -128,7 +128,7 @@
     const absl::Time end = fleet_.now + span;
     while (fleet_.now < end) {
       fleet_.Step();
-      for (auto& [name, fake] : fakes_) fake.Tick(fleet_.now);
+      for (auto& [name, fake_host] : fake_hosts_) fake_host.Tick(fleet_.now);
       if (callers_retry) SendRetries();
       SendRequests(load * rate_ * absl::ToDoubleSeconds(FleetSite::kStep),
                    uneven);
@@ -164,8 +164,8 @@
   void Restart(int except = 0) {
     for (auto& [name, host] : fleet_.hosts) {
       if (host.up || except-- > 0) continue;
-      fakes_.at(name).Start(MakeLimitedWorkspace(rate_, rate_), hosts_,
-                            fleet_.now);
+      fake_hosts_.at(name).Start(MakeLimitedWorkspace(rate_, rate_), hosts_,
+                                 fleet_.now);
       fleet_.Start(name);
     }
   }
@@ -193,7 +193,7 @@
       const std::string name =
           FleetSite::Name(to_first_host ? 0 : RandomBelow(hosts_));
       if (!fleet_.hosts.at(name).up) continue;
-      const auto wait = fakes_.at(name).Request(size, fleet_.now);
+      const auto wait = fake_hosts_.at(name).Request(size, fleet_.now);
       if (!wait) tally_.Add(size, fleet_.now);
       if (wait) refused_ += size;
       if (wait) retries_.emplace(fleet_.now + *wait, size);
@@ -207,7 +207,7 @@
       retries_.erase(retries_.begin());
       const std::string name = FleetSite::Name(RandomBelow(hosts_));
       if (!fleet_.hosts.at(name).up) continue;
-      const auto wait = fakes_.at(name).Request(size, fleet_.now);
+      const auto wait = fake_hosts_.at(name).Request(size, fleet_.now);
       ++retry_count_;
       if (wait) continue;
       tally_.Add(size, fleet_.now);
@@ -219,7 +219,7 @@
   const int hosts_;
   const double rate_;  // Of the limit, tokens per second.
   FleetSite fleet_;
-  std::map<std::string, FakeHost> fakes_;
+  std::map<std::string, FakeHost> fake_hosts_;
   double pending_tokens_ = 0;  // Not yet requested by callers.
   double refused_ = 0;
   std::multimap<absl::Time, double> retries_;  // Tokens, by time of retry.
--- a/src/gateway/drain_plan.h
+++ b/src/gateway/drain_plan.h
@@ -17,12 +17,12 @@
 
 struct DrainPlan {
   // New streams are refused from this time on, since they may last long.
-  absl::Time no_streams_from = absl::InfiniteFuture();
+  absl::Time refuse_streams_from = absl::InfiniteFuture();
   // Idle connections are closed after a short timeout from this time on.
   // Responses carry "Connection: close" from the start of the shutdown.
   absl::Time close_idle_from = absl::InfiniteFuture();
   // No connection is accepted and every request is refused from this time on.
-  absl::Time no_requests_from = absl::InfiniteFuture();
+  absl::Time refuse_requests_from = absl::InfiniteFuture();
   // The process exits, even with requests in progress.
   absl::Time end = absl::InfiniteFuture();
   bool operator==(const DrainPlan&) const = default;
@@ -42,11 +42,12 @@
   constexpr absl::Duration kMaxCallTime = absl::Milliseconds(1300);
   DrainPlan plan;
   plan.end = began + grace - std::min(kExitReserve, grace / 4);
-  plan.no_requests_from = std::max(began + grace / 2, plan.end - kMaxCallTime);
-  plan.no_streams_from =
-      std::min(began + kStreamAcceptTime, plan.no_requests_from);
+  plan.refuse_requests_from =
+      std::max(began + grace / 2, plan.end - kMaxCallTime);
+  plan.refuse_streams_from =
+      std::min(began + kStreamAcceptTime, plan.refuse_requests_from);
   plan.close_idle_from =
-      std::min(began + kIdleCloseDelay, plan.no_requests_from);
+      std::min(began + kIdleCloseDelay, plan.refuse_requests_from);
   return plan;
 }
 
--- a/src/gateway/drain_plan_test.cc
+++ b/src/gateway/drain_plan_test.cc
@@ -11,9 +11,9 @@
   for (const int seconds : {1, 2, 4, 8, 30, 600}) {
     const DrainPlan plan = PlanDrain(began, absl::Seconds(seconds));
     BOOST_TEST((plan.close_idle_from > began));
-    BOOST_TEST((plan.close_idle_from <= plan.no_requests_from));
-    BOOST_TEST((plan.no_streams_from <= plan.no_requests_from));
-    BOOST_TEST((plan.no_requests_from < plan.end));
+    BOOST_TEST((plan.close_idle_from <= plan.refuse_requests_from));
+    BOOST_TEST((plan.refuse_streams_from <= plan.refuse_requests_from));
+    BOOST_TEST((plan.refuse_requests_from < plan.end));
     BOOST_TEST((plan.end < began + absl::Seconds(seconds)));
   }
 }
@@ -24,9 +24,10 @@
 BOOST_AUTO_TEST_CASE(ALateCallIsRefusedNotAborted) {
   const DrainPlan plan = PlanDrain(began, absl::Seconds(8));
   const absl::Time late_arrival = began + absl::Milliseconds(7590);
-  BOOST_TEST((late_arrival >= plan.no_requests_from));
+  BOOST_TEST((late_arrival >= plan.refuse_requests_from));
   // A request accepted just before has the time that a call may need.
-  BOOST_TEST((plan.end - plan.no_requests_from >= absl::Milliseconds(1200)));
+  BOOST_TEST(
+      (plan.end - plan.refuse_requests_from >= absl::Milliseconds(1200)));
 }
 
 }  // namespace
--- a/src/gateway/fake_site_test.h
+++ b/src/gateway/fake_site_test.h
@@ -55,7 +55,7 @@
 
   std::string server() const { return call.server.id.str(); }
 
-  void Head(int status, bool not_run = false) {
+  void SendHead(int status, bool not_run = false) {
     ResponseHead head;
     head.status = status;
     head.signed_ = true;
@@ -63,14 +63,14 @@
     head.headers = {{"X-From", server()}};
     sink.on_head(head);
   }
-  void Data(std::string_view bytes) { sink.on_data(bytes); }
-  void End(http::TransferEnd end = http::TransferEnd::kComplete) {
+  void SendData(std::string_view bytes) { sink.on_data(bytes); }
+  void Finish(http::TransferEnd end = http::TransferEnd::kComplete) {
     sink.on_end(end, "fake");
   }
-  void Answer(int status, std::string_view body) {
-    Head(status);
-    Data(body);
-    End();
+  void SendResponse(int status, std::string_view body) {
+    SendHead(status);
+    SendData(body);
+    Finish();
   }
 };
 
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -161,9 +161,10 @@
   if (exchange.route->services.empty()) {
     return Error{Code::kNoServer, "the route names no service"};
   }
-  const absl::Time refused_from =
-      exchange.is_stream() ? drain_.no_streams_from : drain_.no_requests_from;
-  if (clock_() >= refused_from) {
+  const absl::Time refuse_from = exchange.is_stream()
+                                     ? drain_.refuse_streams_from
+                                     : drain_.refuse_requests_from;
+  if (clock_() >= refuse_from) {
     return Error{Code::kDraining, "this host is about to stop"};
   }
   return std::nullopt;
--- a/src/gateway/forwarder_finish.cc
+++ b/src/gateway/forwarder_finish.cc
@@ -46,8 +46,9 @@
     exchange.responder->Respond(head.status, ResponseHeaders(head),
                                 std::move(exchange.body));
   }
-  const absl::Time answered = stream ? exchange.first_event : now;
-  const bool in_time = answered - exchange.arrival <= exchange.route->objective;
+  const absl::Time responded_at = stream ? exchange.first_event : now;
+  const bool in_time =
+      responded_at - exchange.arrival <= exchange.route->objective;
   metrics_->CountAnswered(exchange.tier, in_time);
   LOG(INFO) << "event=answered request=" << exchange.request->id
             << " route=" << exchange.route->name
@@ -55,7 +56,7 @@
             << " server=" << exchange.attempt.server->id
             << " sendings=" << exchange.attempts
             << " prompt_tokens=" << exchange.prompt_tokens()
-            << " first_ms=" << Milliseconds(answered - exchange.arrival)
+            << " first_ms=" << Milliseconds(responded_at - exchange.arrival)
             << " total_ms=" << Milliseconds(now - exchange.arrival)
             << " events=" << exchange.splitter.event_count()
             << " in_time=" << in_time;
@@ -103,7 +104,7 @@
   Remove(exchange.id);
 }
 
-// For a request that may have run, so that no refusal would be true.
+// Fails a request that may have run, so that a refusal would be false.
 void Forwarder::FailRequest(Exchange& exchange, const Error& error) {
   LOG(WARNING) << "event=given-up request=" << exchange.request->id
                << " code=" << static_cast<int>(error.code) << " cause=\""
--- a/src/gateway/forwarder_test.cc
+++ b/src/gateway/forwarder_test.cc
@@ -33,11 +33,11 @@
   const auto caller = site.SendRequest("/pay/1");
   BOOST_REQUIRE(site.calls.size() == 1u);
   BOOST_TEST(site.last().call.workspace.str() == "w");
-  site.last().Head(201);
-  site.last().Data("pa");
+  site.last().SendHead(201);
+  site.last().SendData("pa");
   BOOST_TEST(caller->status == 0);
-  site.last().Data("id");
-  site.last().End();
+  site.last().SendData("id");
+  site.last().Finish();
   BOOST_TEST(caller->status == 201);
   BOOST_TEST(caller->body == "paid");
   BOOST_TEST(caller->complete);
@@ -48,11 +48,11 @@
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/stream/1");
-  site.last().Head(200);
-  site.last().Data("id: 1\ndata: a\n\nid: 2\nda");
+  site.last().SendHead(200);
+  site.last().SendData("id: 1\ndata: a\n\nid: 2\nda");
   BOOST_TEST(caller->body == "id: 1\ndata: a\n\n");
-  site.last().Data("ta: b\n\n");
-  site.last().End();
+  site.last().SendData("ta: b\n\n");
+  site.last().Finish();
   BOOST_TEST(caller->body == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   BOOST_TEST(caller->complete);
 }
@@ -64,7 +64,7 @@
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
-  site.last().End(TransferEnd::kBroken);
+  site.last().Finish(TransferEnd::kBroken);
   BOOST_TEST(site.calls.size() == 1u);
   BOOST_TEST(caller->status == 502);
   BOOST_TEST(caller->header("Retry-After").empty());
@@ -77,11 +77,11 @@
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
   const std::string first = site.last().server();
-  site.last().Head(503, /*not_run=*/true);
-  site.last().End();
+  site.last().SendHead(503, /*not_run=*/true);
+  site.last().Finish();
   BOOST_REQUIRE(site.calls.size() == 2u);
   BOOST_TEST(site.last().server() != first);
-  site.last().Answer(200, "paid");
+  site.last().SendResponse(200, "paid");
   BOOST_TEST(caller->body == "paid");
 }
 
@@ -92,8 +92,8 @@
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
   while (!caller->complete) {
-    site.last().Head(503, /*not_run=*/true);
-    site.last().End();
+    site.last().SendHead(503, /*not_run=*/true);
+    site.last().Finish();
     site.AdvanceTime(absl::Seconds(1));
   }
   BOOST_TEST(site.calls.size() <= 3u);
@@ -107,11 +107,11 @@
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/read/1");
-  site.last().End(TransferEnd::kBroken);
+  site.last().Finish(TransferEnd::kBroken);
   BOOST_REQUIRE(site.calls.size() == 2u);
   while (!caller->complete) {
-    site.last().Head(503, /*not_run=*/true);
-    site.last().End();
+    site.last().SendHead(503, /*not_run=*/true);
+    site.last().Finish();
     site.AdvanceTime(absl::Seconds(1));
   }
   BOOST_TEST(caller->status == 502);
@@ -121,9 +121,9 @@
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/read/1");
-  site.last().End(TransferEnd::kBroken);
+  site.last().Finish(TransferEnd::kBroken);
   BOOST_REQUIRE(site.calls.size() == 2u);
-  site.last().Answer(500, "broken");
+  site.last().SendResponse(500, "broken");
   // Two attempts were made, as the route allows: the last response is relayed.
   BOOST_TEST(site.calls.size() == 2u);
   BOOST_TEST(caller->status == 500);
@@ -138,7 +138,7 @@
   site.demand.RaiseHostCount(90);
   site.Configure();
   const auto caller = site.SendRequest("/read/1");
-  site.last().End(TransferEnd::kBroken);
+  site.last().Finish(TransferEnd::kBroken);
   BOOST_TEST(site.calls.size() == 1u);  // 1/30 of a retry is available.
   BOOST_TEST(caller->status == 502);
 }
@@ -149,10 +149,10 @@
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/pay/1");
-  site.last().End(TransferEnd::kNotSent);
+  site.last().Finish(TransferEnd::kNotSent);
   BOOST_REQUIRE(site.calls.size() == 2u);
   BOOST_TEST(site.calls[0]->server() != site.calls[1]->server());
-  site.last().Answer(200, "paid");
+  site.last().SendResponse(200, "paid");
   BOOST_TEST(caller->status == 200);
 }
 
@@ -163,14 +163,14 @@
   site.Configure();
   const auto caller = site.SendRequest("/resume/1");
   const std::string first = site.last().server();
-  site.last().Head(200);
-  site.last().Data("id: 1\ndata: a\n\nid: 2\ndata: b");
-  site.last().End(TransferEnd::kBroken);
+  site.last().SendHead(200);
+  site.last().SendData("id: 1\ndata: a\n\nid: 2\ndata: b");
+  site.last().Finish(TransferEnd::kBroken);
   BOOST_REQUIRE(site.calls.size() == 2u);
   BOOST_TEST(site.last().call.last_event == 1);
-  site.last().Head(200);
-  site.last().Data("id: 2\ndata: b\n\n");
-  site.last().End();
+  site.last().SendHead(200);
+  site.last().SendData("id: 2\ndata: b\n\n");
+  site.last().Finish();
   BOOST_TEST(caller->body == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   BOOST_TEST(caller->header("X-From") == first);
   BOOST_TEST(caller->complete);
@@ -182,9 +182,9 @@
   FakeSite site;
   site.Configure();
   const auto caller = site.SendRequest("/stream/1");
-  site.last().Head(200);
-  site.last().Data("id: 1\ndata: a\n\n");
-  site.last().End(TransferEnd::kBroken);
+  site.last().SendHead(200);
+  site.last().SendData("id: 1\ndata: a\n\n");
+  site.last().Finish(TransferEnd::kBroken);
   BOOST_TEST(site.calls.size() == 1u);
   BOOST_TEST(caller->aborted);
   BOOST_TEST(!caller->complete);
@@ -200,8 +200,8 @@
   head.status = 200;
   head.matches_request = false;
   BOOST_TEST((site.last().sink.on_head(head) == http::Reading::kStop));
-  site.last().Data("paid");
-  site.last().End(TransferEnd::kBroken);
+  site.last().SendData("paid");
+  site.last().Finish(TransferEnd::kBroken);
   BOOST_TEST(caller->status == 502);
   BOOST_TEST(caller->body.find("paid") == std::string::npos);
 }
@@ -229,8 +229,8 @@
   BOOST_TEST(caller->status == 504);
   BOOST_TEST(site.last().cancelled);
   const auto stream = site.SendRequest("/stream/1");
-  site.last().Head(200);
-  site.last().Data("id: 1\ndata: a\n\n");
+  site.last().SendHead(200);
+  site.last().SendData("id: 1\ndata: a\n\n");
   site.AdvanceTime(absl::Seconds(5));
   BOOST_TEST(stream->aborted);
 }
@@ -280,9 +280,9 @@
   next.routes.clear();
   site.forwarder->SetConfiguration(std::move(next));
   BOOST_TEST(site.SendRequest("/read/1")->status == 404);
-  site.last().End(TransferEnd::kBroken);
+  site.last().Finish(TransferEnd::kBroken);
   BOOST_REQUIRE(site.calls.size() == 2u);  // Retried as its route allows.
-  site.last().Answer(200, "read");
+  site.last().SendResponse(200, "read");
   BOOST_TEST(before->status == 200);
 }
 
@@ -305,7 +305,7 @@
     site.SendRequest("/pay/1");
     BOOST_TEST(site.last().server() != leaving);
   }
-  site.calls[0]->Answer(200, "paid");
+  site.calls[0]->SendResponse(200, "paid");
   BOOST_TEST(caller->status == 200);
 }
 
@@ -323,9 +323,9 @@
   head.not_run = true;
   head.wrong_server = true;
   site.last().sink.on_head(head);
-  site.last().End();
+  site.last().Finish();
   BOOST_TEST(reported == first);
-  site.last().Answer(200, "paid");
+  site.last().SendResponse(200, "paid");
   BOOST_TEST(caller->status == 200);
 }
 
@@ -334,13 +334,13 @@
   site.Configure();
   const auto before = site.SendRequest("/pay/1");
   site.forwarder->Drain(PlanDrain(site.now, absl::Seconds(8)));
-  site.last().Answer(200, "paid");
+  site.last().SendResponse(200, "paid");
   BOOST_TEST(before->header("Connection") == "close");
   // Streams are refused first, then all requests.
   site.AdvanceTime(absl::Seconds(4));
   BOOST_TEST(site.SendRequest("/stream/1")->status == 503);
   const auto call = site.SendRequest("/pay/1");
-  site.last().Answer(200, "paid");
+  site.last().SendResponse(200, "paid");
   BOOST_TEST(call->status == 200);
   site.AdvanceTime(absl::Milliseconds(3590));
   BOOST_TEST(site.SendRequest("/pay/1")->status == 503);
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -81,18 +81,18 @@
                  std::shared_ptr<http::Responder> responder) {
             forwarder_.Accept(std::move(request), std::move(responder));
           }),
-      configuration_(
+      configuration_subscription_(
           {.table = platform_.configuration_table}, platform_.table,
           &loop->timers(), [loop] { return loop->now(); }, SeedOf(settings),
           [this](const auto& rows, bool, absl::Time) {
             OnConfigurationRows(rows);
           },
           [](bool, absl::Time) {}),
-      servers_(
+      server_subscription_(
           {.table = platform_.server_table}, platform_.table, &loop->timers(),
           [loop] { return loop->now(); }, SeedOf(settings) + 1,
-          [this](const auto& rows, bool whole, absl::Time now) {
-            OnServerRows(rows, whole, now);
+          [this](const auto& rows, bool full_list, absl::Time now) {
+            OnServerRows(rows, full_list, now);
           },
           [this](bool up, absl::Time now) {
             if (!up) return;
@@ -100,7 +100,8 @@
             directory_.OnTableRecovered(now);
           }),
       sharing_(
-          settings.id.str(), {&configuration_, &servers_},
+          settings.id.str(),
+          {&configuration_subscription_, &server_subscription_},
           {.hand_on =
                [this](const TableChanges& changes) {
                  SendChanges(peers_->fleet().Followers(), changes);
@@ -115,7 +116,7 @@
 
 Host::~Host() {
   for (const TimerId timer : timers_) loop_->timers().Cancel(timer);
-  loop_->timers().Cancel(expiry_);
+  loop_->timers().Cancel(expiry_timer_);
 }
 
 Outcome<std::unique_ptr<Host>> Host::Start(
@@ -136,8 +137,8 @@
       loop->timers().Every(loop->now() + kLogFlushInterval, kLogFlushInterval,
                            [log](absl::Time) { log->Flush(); }));
   host->forwarder_.SetGroupLink(&host->groups_);
-  host->configuration_.Start();
-  host->servers_.Start();
+  host->configuration_subscription_.Start();
+  host->server_subscription_.Start();
   LOG(INFO) << "event=started zone=" << settings.zone
             << " callers=" << settings::Format(settings.callers)
             << " table=" << settings::Format(settings.table);
@@ -149,14 +150,14 @@
       [this](const settings::Endpoint& endpoint, unsigned connections,
              http::Server::Handler handler,
              std::unique_ptr<http::Server>* server) -> std::optional<Error> {
-    http::ServerSettings chosen;
-    chosen.address = endpoint.ip;
-    chosen.port = static_cast<std::uint16_t>(endpoint.port);
-    chosen.limits.max_connections = connections;
-    chosen.limits.max_header_bytes = kMaxHeaderBytes;
-    chosen.limits.max_body_bytes = kMaxBodyBytes;
-    chosen.loop = loop_;
-    auto started = http::Server::Start(chosen, std::move(handler));
+    http::ServerSettings server_settings;
+    server_settings.address = endpoint.ip;
+    server_settings.port = static_cast<std::uint16_t>(endpoint.port);
+    server_settings.limits.max_connections = connections;
+    server_settings.limits.max_header_bytes = kMaxHeaderBytes;
+    server_settings.limits.max_body_bytes = kMaxBodyBytes;
+    server_settings.loop = loop_;
+    auto started = http::Server::Start(server_settings, std::move(handler));
     if (!started.ok()) return started.error();
     *server = std::move(started.value());
     return std::nullopt;
@@ -167,7 +168,7 @@
           [this](http::Request request, auto responder) {
             HandleRequest(std::move(request), std::move(responder));
           },
-          &callers_)) {
+          &caller_server_)) {
     return error;
   }
   if (auto error = listen(
@@ -175,7 +176,7 @@
           [this](const http::Request& request, auto responder) {
             HandleReadinessCheck(request, *responder);
           },
-          &ready_)) {
+          &readiness_server_)) {
     return error;
   }
   return listen(
@@ -189,17 +190,18 @@
 
 void Host::HandleRequest(http::Request request,
                          std::shared_ptr<http::Responder> responder) {
-  auto read = platform_.read_request(std::move(request));
-  if (!read.ok()) {
-    LOG(INFO) << "event=malformed code=" << static_cast<int>(read.error().code)
-              << " cause=\"" << read.error().detail << "\"";
-    metrics_.CountMalformed(read.error().code);
-    return http::RespondProblem(*responder, read.error());
+  auto parsed = platform_.read_request(std::move(request));
+  if (!parsed.ok()) {
+    LOG(INFO) << "event=malformed code="
+              << static_cast<int>(parsed.error().code) << " cause=\""
+              << parsed.error().detail << "\"";
+    metrics_.CountMalformed(parsed.error().code);
+    return http::RespondProblem(*responder, parsed.error());
   }
   if (!initialized()) {
-    return startup_queue_.Hold(std::move(read.value()), std::move(responder));
+    return startup_queue_.Hold(std::move(parsed.value()), std::move(responder));
   }
-  forwarder_.Accept(std::move(read.value()), std::move(responder));
+  forwarder_.Accept(std::move(parsed.value()), std::move(responder));
 }
 
 void Host::HandleReadinessCheck(const http::Request& request,
@@ -212,7 +214,7 @@
 }
 
 bool Host::initialized() const {
-  return forwarder_.configured() && servers_.complete();
+  return forwarder_.configured() && server_subscription_.complete();
 }
 
 bool Host::ready() const { return initialized() && !draining_; }
@@ -224,21 +226,22 @@
   metrics_.Set("gentianlb_open_requests", "Requests in progress", {},
                static_cast<double>(forwarder_.open_requests()));
   metrics_.Set("gentianlb_callers", "Open connections of callers", {},
-               static_cast<double>(callers_->open_connections()));
+               static_cast<double>(caller_server_->open_connections()));
   metrics_.Set("gentianlb_servers", "Registered backend servers", {},
                static_cast<double>(directory_.size()));
   metrics_.Set("gentianlb_ready", "1 when the host is ready for callers", {},
                ready() ? 1 : 0);
-  for (const TableFollower* follower : {&configuration_, &servers_}) {
-    const prometheus::Labels table = {{"table", follower->table()}};
+  for (const TableFollower* subscriber :
+       {&configuration_subscription_, &server_subscription_}) {
+    const prometheus::Labels table = {{"table", subscriber->table()}};
     metrics_.Set("gentianlb_table_up", "1 while the table service answers",
-                 table, follower->up() ? 1 : 0);
+                 table, subscriber->up() ? 1 : 0);
     metrics_.Set("gentianlb_table_follows",
                  "1 while this host polls the table service itself", table,
-                 follower->follows() ? 1 : 0);
+                 subscriber->follows() ? 1 : 0);
     metrics_.Set("gentianlb_table_behind_seconds",
                  "Time since a change became known that this host lacks", table,
-                 absl::ToDoubleSeconds(follower->Behind()));
+                 absl::ToDoubleSeconds(subscriber->Behind()));
   }
   metrics_.Set("gentianlb_log_lines_left_out",
                "Log lines dropped at the log's size limit", {},
@@ -249,47 +252,48 @@
 void Host::OnConfigurationRows(const std::vector<TableRow>& rows) {
   for (const TableRow& row : rows) {
     if (row.key != platform_.configuration_key || row.removed) continue;
-    auto read = platform_.read_configuration(row.value);
-    if (!read.ok()) {
+    auto parsed = platform_.read_configuration(row.value);
+    if (!parsed.ok()) {
       LOG(ERROR) << "event=configuration-unreadable code="
-                 << static_cast<int>(read.error().code) << " cause=\""
-                 << read.error().detail << "\"";
+                 << static_cast<int>(parsed.error().code) << " cause=\""
+                 << parsed.error().detail << "\"";
       continue;
     }
-    callers_->SetIdleTimeout(read.value().limits.idle_timeout);
-    forwarder_.SetConfiguration(std::move(read.value()));
+    caller_server_->SetIdleTimeout(parsed.value().limits.idle_timeout);
+    forwarder_.SetConfiguration(std::move(parsed.value()));
   }
   if (initialized()) startup_queue_.Release();
 }
 
-void Host::OnServerRows(const std::vector<TableRow>& rows, bool whole,
+void Host::OnServerRows(const std::vector<TableRow>& rows, bool full_list,
                         absl::Time now) {
   std::vector<std::pair<std::string, ServerEntry>> listed;
   bool changed = false;
   for (const TableRow& row : rows) {
     std::optional<ServerEntry> entry;
     if (!row.removed) {
-      auto read = platform_.read_server(row.key, row.value);
-      if (read.ok()) entry = std::move(read.value());
-      if (!read.ok()) {
+      auto parsed = platform_.read_server(row.key, row.value);
+      if (parsed.ok()) entry = std::move(parsed.value());
+      if (!parsed.ok()) {
         LOG(WARNING) << "event=server-unreadable cause=\""
-                     << read.error().detail << "\"";
+                     << parsed.error().detail << "\"";
       }
     }
     LOG(INFO) << "event=server-registration server=" << row.key
               << " usable=" << entry.has_value()
               << " draining=" << (entry && entry->draining)
               << " started=" << (entry ? entry->started : 0);
-    if (whole && entry) listed.emplace_back(row.key, *entry);
-    if (!whole) changed |= directory_.Update(row.key, entry, now);
+    if (full_list && entry) listed.emplace_back(row.key, *entry);
+    if (!full_list) changed |= directory_.Update(row.key, entry, now);
   }
-  if (whole) changed = directory_.Replace(listed, now);
-  if (changed || whole) OnServersChanged();
-  loop_->timers().Cancel(expiry_);
+  if (full_list) changed = directory_.Replace(listed, now);
+  if (changed || full_list) OnServersChanged();
+  loop_->timers().Cancel(expiry_timer_);
   if (directory_.NextExpiry() == absl::InfiniteFuture()) return;
-  expiry_ = loop_->timers().At(directory_.NextExpiry(), [this](absl::Time at) {
-    if (directory_.Expire(at)) OnServersChanged();
-  });
+  expiry_timer_ =
+      loop_->timers().At(directory_.NextExpiry(), [this](absl::Time at) {
+        if (directory_.Expire(at)) OnServersChanged();
+      });
 }
 
 void Host::OnServersChanged() {
@@ -307,21 +311,22 @@
   groups_.Drain();
   TimerService& timers = loop_->timers();
   timers_.push_back(timers.At(drain_.close_idle_from, [this](absl::Time) {
-    callers_->SetIdleTimeout(kDrainIdleTimeout);
+    caller_server_->SetIdleTimeout(kDrainIdleTimeout);
   }));
-  timers_.push_back(timers.At(drain_.no_requests_from, [this](absl::Time) {
-    callers_->StopAccepting();
+  timers_.push_back(timers.At(drain_.refuse_requests_from, [this](absl::Time) {
+    caller_server_->StopAccepting();
   }));
-  timers_.push_back(timers.Every(drain_.no_streams_from, kDrainCheckInterval,
+  timers_.push_back(timers.Every(drain_.refuse_streams_from,
+                                 kDrainCheckInterval,
                                  [this](absl::Time at) { CheckDrained(at); }));
 }
 
 void Host::CheckDrained(absl::Time now) {
-  const bool done =
-      forwarder_.open_requests() == 0 && callers_->open_connections() == 0;
+  const bool done = forwarder_.open_requests() == 0 &&
+                    caller_server_->open_connections() == 0;
   if (!done && now < drain_.end) return;
   LOG(INFO) << "event=stopped open=" << forwarder_.open_requests()
-            << " connections=" << callers_->open_connections();
+            << " connections=" << caller_server_->open_connections();
   loop_->Stop();
 }
 
--- a/src/gateway/host.h
+++ b/src/gateway/host.h
@@ -63,8 +63,8 @@
   bool ready() const;
   // Returns whether the configuration and the list of servers have arrived.
   bool initialized() const;
-  std::uint16_t callers_port() const { return callers_->port(); }
-  std::uint16_t ready_port() const { return ready_->port(); }
+  std::uint16_t callers_port() const { return caller_server_->port(); }
+  std::uint16_t ready_port() const { return readiness_server_->port(); }
 
  private:
   Host(const settings::GatewaySettings& settings, Platform platform,
@@ -87,7 +87,7 @@
   std::string BuildMetricsText();
 
   void OnConfigurationRows(const std::vector<TableRow>& rows);
-  void OnServerRows(const std::vector<TableRow>& rows, bool whole,
+  void OnServerRows(const std::vector<TableRow>& rows, bool full_list,
                     absl::Time now);
   void OnServersChanged();
   void CheckDrained(absl::Time now);
@@ -103,18 +103,18 @@
   Forwarder forwarder_;
   GroupLink groups_;
   StartupQueue startup_queue_;
-  TableFollower configuration_;
-  TableFollower servers_;
+  TableFollower configuration_subscription_;
+  TableFollower server_subscription_;
   TableSharing sharing_;
   TableRecovery table_recovery_;
   std::unique_ptr<Peers> peers_;
-  std::unique_ptr<http::Server> callers_;
-  std::unique_ptr<http::Server> ready_;
+  std::unique_ptr<http::Server> caller_server_;
+  std::unique_ptr<http::Server> readiness_server_;
   std::unique_ptr<http::Server> metrics_server_;
   int hosts_told_ = 1;  // To the forwarder.
   absl::Time hosts_told_at_ = absl::InfinitePast();
   std::vector<TimerId> timers_;
-  TimerId expiry_ = 0;
+  TimerId expiry_timer_ = 0;
   bool draining_ = false;
   DrainPlan drain_;
 };
