--- a/src/gateway/demand.cc
+++ b/src/gateway/demand.cc
@@ -97,7 +97,7 @@
     if (idle && shares_.contains(workspace)) continue;
     uses.push_back({workspace, static_cast<float>(own.published.back()),
                     own.admitted, own.refunded,
-                    static_cast<float>(LocalShare(workspace)), /*parts=*/1,
+                    static_cast<float>(LocalShare(workspace)), /*shares=*/1,
                     static_cast<float>(own.unreported)});
   }
   return uses;
--- a/src/gateway/demand_test.cc
+++ b/src/gateway/demand_test.cc
@@ -476,19 +476,19 @@
 // refunded at all hosts, or a caller that retries would pay twice.
 BOOST_AUTO_TEST_CASE(UnsentRequestsAreRefundedEverywhere) {
   Demand demand;
-  FleetNews news;
-  news.sender.host = "h";
-  news.period_ms = 100;
-  news.incarnation = 5;
-  news.sequence = 1;
-  news.workspaces = {{name_hash, 0, 1000, 0}};
-  demand.OnPeerUpdate(news, start);
-  news.sequence = 2;
-  news.workspaces = {{name_hash, 0, 1500, 200}};
-  BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == 300);
-  news.sequence = 3;
-  news.workspaces = {{name_hash, 0, 1500, 500}};
-  BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == -300);
+  FleetNews peer_update;
+  peer_update.sender.host = "h";
+  peer_update.period_ms = 100;
+  peer_update.incarnation = 5;
+  peer_update.sequence = 1;
+  peer_update.workspaces = {{name_hash, 0, 1000, 0}};
+  demand.OnPeerUpdate(peer_update, start);
+  peer_update.sequence = 2;
+  peer_update.workspaces = {{name_hash, 0, 1500, 200}};
+  BOOST_TEST(demand.OnPeerUpdate(peer_update, start).front().tokens == 300);
+  peer_update.sequence = 3;
+  peer_update.workspaces = {{name_hash, 0, 1500, 500}};
+  BOOST_TEST(demand.OnPeerUpdate(peer_update, start).front().tokens == -300);
 
   Quotas quotas(0);
   quotas.Configure({MakeLimitedWorkspace(1000, 1000)}, start);
@@ -505,10 +505,10 @@
   demand.RaiseHostCount(2);
   demand.UpdateShares({name_hash}, start);
   BOOST_TEST(demand.BuildUpdate(start).front().part == 0.5F);
-  FleetNews news;
-  news.sender.host = "h";
-  news.period_ms = 100;
-  demand.OnPeerUpdate(news, start);
+  FleetNews peer_update;
+  peer_update.sender.host = "h";
+  peer_update.period_ms = 100;
+  demand.OnPeerUpdate(peer_update, start);
   demand.UpdateShares({name_hash}, start);
   BOOST_TEST(demand.BuildUpdate(start).empty());
   demand.RecordRequest(name_hash, /*rank=*/0, 100, start);
@@ -519,21 +519,21 @@
 // charged again. After the host's restart all that it publishes is new.
 BOOST_AUTO_TEST_CASE(OnlyNewUseIsCharged) {
   Demand demand;
-  FleetNews news;
-  news.sender.host = "h";
-  news.period_ms = 100;
-  news.incarnation = 5;
-  news.sequence = 1;
-  news.workspaces = {{name_hash, 0, 1000}};
-  BOOST_TEST(demand.OnPeerUpdate(news, start).empty());
-  news.sequence = 2;
-  news.workspaces = {{name_hash, 0, 1300}};
-  BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == 300);
-  BOOST_TEST(demand.OnPeerUpdate(news, start).empty());
-  news.incarnation = 6;
-  news.sequence = 1;
-  news.workspaces = {{name_hash, 0, 40}};
-  BOOST_TEST(demand.OnPeerUpdate(news, start).front().tokens == 40);
+  FleetNews peer_update;
+  peer_update.sender.host = "h";
+  peer_update.period_ms = 100;
+  peer_update.incarnation = 5;
+  peer_update.sequence = 1;
+  peer_update.workspaces = {{name_hash, 0, 1000}};
+  BOOST_TEST(demand.OnPeerUpdate(peer_update, start).empty());
+  peer_update.sequence = 2;
+  peer_update.workspaces = {{name_hash, 0, 1300}};
+  BOOST_TEST(demand.OnPeerUpdate(peer_update, start).front().tokens == 300);
+  BOOST_TEST(demand.OnPeerUpdate(peer_update, start).empty());
+  peer_update.incarnation = 6;
+  peer_update.sequence = 1;
+  peer_update.workspaces = {{name_hash, 0, 40}};
+  BOOST_TEST(demand.OnPeerUpdate(peer_update, start).front().tokens == 40);
 }
 
 }  // namespace
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -43,8 +43,8 @@
     recovered_at_ = std::max(recovered_at_, at);
   }
 
-  // Removes registrations whose delay has passed. Returns true if there was
-  // one.
+  // Removes registrations whose delay has passed. Returns true if any was
+  // removed.
   bool Expire(absl::Time now);
   // Returns the time of the next delayed removal; InfiniteFuture() if none.
   absl::Time NextExpiry() const;
--- a/src/gateway/drain_plan.h
+++ b/src/gateway/drain_plan.h
@@ -28,9 +28,9 @@
   bool operator==(const DrainPlan&) const = default;
 };
 
-// Returns the schedule of a shutdown that begins at `began`. `grace` is the
+// Returns the schedule of a shutdown that begins at `start`. `grace` is the
 // time from the signal until the process is killed.
-inline DrainPlan PlanDrain(absl::Time began, absl::Duration grace) {
+inline DrainPlan PlanDrain(absl::Time start, absl::Duration grace) {
   // The platform checks readiness once a second and takes a host out of service
   // after two failures; new requests arrive for a moment longer.
   constexpr absl::Duration kStreamAcceptTime = absl::Seconds(3);
@@ -41,13 +41,13 @@
   // deployments, and a margin.
   constexpr absl::Duration kMaxCallTime = absl::Milliseconds(1300);
   DrainPlan plan;
-  plan.end = began + grace - std::min(kExitReserve, grace / 4);
+  plan.end = start + grace - std::min(kExitReserve, grace / 4);
   plan.refuse_requests_from =
-      std::max(began + grace / 2, plan.end - kMaxCallTime);
+      std::max(start + grace / 2, plan.end - kMaxCallTime);
   plan.refuse_streams_from =
-      std::min(began + kStreamAcceptTime, plan.refuse_requests_from);
+      std::min(start + kStreamAcceptTime, plan.refuse_requests_from);
   plan.close_idle_from =
-      std::min(began + kIdleCloseDelay, plan.refuse_requests_from);
+      std::min(start + kIdleCloseDelay, plan.refuse_requests_from);
   return plan;
 }
 
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -247,7 +247,7 @@
 }
 
 void Forwarder::ApplyDecision(const schedule::Decision& decision) {
-  std::visit([this](const auto& one) { Apply(one); }, decision);
+  std::visit([this](const auto& item) { Apply(item); }, decision);
 }
 
 void Forwarder::NotifyLocalDispatcher(const ServiceId& service,
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -82,8 +82,8 @@
   // Applies a decision of a group's dispatcher.
   void ApplyDecision(const schedule::Decision& decision);
 
-  // Returns the requests that this host runs on each server, and the server's
-  // speed as measured here.
+  // Returns, for each server, this host's running requests and the server's
+  // slowdown as measured here.
   std::vector<ServerUse> ServerUses() const;
   // Sets the same for all peers together.
   void SetPeerUses(const absl::flat_hash_map<NameHash, ServerUse>& uses);
--- a/src/gateway/forwarder_attempt.cc
+++ b/src/gateway/forwarder_attempt.cc
@@ -94,9 +94,9 @@
         use.alone = static_cast<std::uint16_t>(
             std::max(0, use.running - groups_->GrantedOn(server.id)));
       }
-      if (const auto pace = queue.dispatcher().PaceOf(server.id)) {
-        use.prefill = static_cast<float>(pace->prefill);
-        use.decode = static_cast<float>(pace->decode);
+      if (const auto slowdown = queue.dispatcher().PaceOf(server.id)) {
+        use.prefill = static_cast<float>(slowdown->prefill);
+        use.decode = static_cast<float>(slowdown->decode);
       }
       if (use.running > 0 || use.decode > 0) uses.push_back(use);
     }
@@ -116,8 +116,8 @@
         NotifyDispatcher(service.id,
                          schedule::LoadElsewhere{server.id, use.running});
       }
-      const bool has_speed = use.decode > 0 && service.engine;
-      if (has_speed &&
+      const bool has_slowdown = use.decode > 0 && service.engine;
+      if (has_slowdown &&
           (notified.decode != use.decode || notified.prefill != use.prefill)) {
         NotifyDispatcher(service.id, schedule::PaceElsewhere{
                                          server.id, use.prefill, use.decode});
--- a/src/gateway/messages.h
+++ b/src/gateway/messages.h
@@ -22,7 +22,7 @@
 
 namespace gentianlb::gateway {
 
-// The part of a request that concerns a model.
+// The fields of a request that concern a model.
 struct Prompt {
   ModelId model;
   int prompt_tokens = 0;
--- a/src/gateway/quota.cc
+++ b/src/gateway/quota.cc
@@ -105,7 +105,7 @@
   const double reserved = reserve * BurstCapacity(bucket.quota) * bucket.share +
                           bucket.unreported.tokens();
   if (bucket.tokens.level() <= reserved) {
-    // Not before the peers' use is known here.
+    // Not before the peers have reported their use.
     return std::max(bucket.tokens.UntilFilled(reserved),
                     bucket.peer_demand.report_delay);
   }
