--- a/src/gateway/demand.cc
+++ b/src/gateway/demand.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "gateway/zone_role.h"
+#include "gateway/aggregator_election.h"
 
 namespace gentianlb::gateway {
 namespace {
@@ -59,12 +59,13 @@
   by_workspace_[workspace].refunded += static_cast<std::uint64_t>(tokens);
 }
 
-std::vector<PeerUse> Demand::OnPeerUpdate(const FleetNews& update,
+std::vector<PeerUse> Demand::OnPeerUpdate(const FleetUpdate& update,
                                           absl::Time now) {
   // Each aggregator counts from its own start. While this host was partitioned,
   // its peers kept to their shares.
-  const bool same_source = update.sender.host == last_update_.sender.host &&
-                           now - last_update_at_ <= Believed(UpdatePeriod());
+  const bool same_source =
+      update.sender.host == last_update_.sender.host &&
+      now - last_update_at_ <= LivenessTimeout(UpdatePeriod());
   if (!same_source) counters_ = UseCounters();
   std::vector<PeerUse> uses;
   // All counts of an aggregator that started after the last update are new to
@@ -145,8 +146,8 @@
   // After a restart: the limit without the peers' shares, divided among the
   // hosts whose shares are unknown.
   const WorkspaceUse* use = FindPeerUse(workspace);
-  const double remaining = use == nullptr ? 1.0 : 1.0 - use->part;
-  const int known_shares = use == nullptr ? 0 : use->parts;
+  const double remaining = use == nullptr ? 1.0 : 1.0 - use->share;
+  const int known_shares = use == nullptr ? 0 : use->shares;
   return std::max(0.0, remaining) / std::max(1, hosts_ - known_shares);
 }
 
@@ -167,7 +168,7 @@
   double share = LocalShare(workspace);
   if (const WorkspaceUse* use = FindPeerUse(workspace);
       use && IsLastUpdateCurrent(now)) {
-    share += std::max(0.0F, use->part);
+    share += std::max(0.0F, use->share);
   }
   return std::clamp(share, kMinShare, 1.0);
 }
--- a/src/gateway/demand_test.cc
+++ b/src/gateway/demand_test.cc
@@ -37,7 +37,7 @@
     demand.RaiseHostCount(hosts);
   }
 
-  void OnPeerUpdate(const FleetNews& update, absl::Time now) {
+  void OnPeerUpdate(const FleetUpdate& update, absl::Time now) {
     for (const PeerUse& spent : demand.OnPeerUpdate(update, now)) {
       quotas.Charge(spent.workspace, spent.tokens, now);
     }
@@ -111,10 +111,10 @@
     for (auto& [name, host] : fleet_.hosts) {
       FakeHost* fake_host = &fake_hosts_[name];
       fake_host->Start(MakeLimitedWorkspace(rate_, rate_), hosts_, fleet_.now);
-      host.compose = [this, fake_host](FleetNews* own) {
+      host.compose = [this, fake_host](FleetUpdate* own) {
         own->workspaces = fake_host->demand.BuildUpdate(fleet_.now);
       };
-      host.on_others = [this, fake_host](const FleetNews& update) {
+      host.on_peers = [this, fake_host](const FleetUpdate& update) {
         fake_host->OnPeerUpdate(update, fleet_.now);
       };
     }
@@ -152,7 +152,7 @@
   }
   void KillAggregators() {
     for (auto& [name, host] : fleet_.hosts) {
-      if (host.fleet->aggregates()) fleet_.Kill(name);
+      if (host.fleet->is_aggregator()) fleet_.Kill(name);
     }
   }
   void IsolateZone(const std::string& zone) {
@@ -476,7 +476,7 @@
 // refunded at all hosts, or a caller that retries would pay twice.
 BOOST_AUTO_TEST_CASE(UnsentRequestsAreRefundedEverywhere) {
   Demand demand;
-  FleetNews peer_update;
+  FleetUpdate peer_update;
   peer_update.sender.host = "h";
   peer_update.period_ms = 100;
   peer_update.incarnation = 5;
@@ -504,8 +504,8 @@
   Demand demand;
   demand.RaiseHostCount(2);
   demand.UpdateShares({name_hash}, start);
-  BOOST_TEST(demand.BuildUpdate(start).front().part == 0.5F);
-  FleetNews peer_update;
+  BOOST_TEST(demand.BuildUpdate(start).front().share == 0.5F);
+  FleetUpdate peer_update;
   peer_update.sender.host = "h";
   peer_update.period_ms = 100;
   demand.OnPeerUpdate(peer_update, start);
@@ -519,7 +519,7 @@
 // charged again. After the host's restart all that it publishes is new.
 BOOST_AUTO_TEST_CASE(OnlyNewUseIsCharged) {
   Demand demand;
-  FleetNews peer_update;
+  FleetUpdate peer_update;
   peer_update.sender.host = "h";
   peer_update.period_ms = 100;
   peer_update.incarnation = 5;
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -11,7 +11,7 @@
 namespace gentianlb::gateway {
 namespace {
 
-using schedule::EndKind;
+using schedule::RequestOutcome;
 
 // Fraction of the objective within which the server must send the first event.
 // The rest covers transit to the caller and prediction errors.
@@ -290,7 +290,7 @@
     // response.
     return NotifyDispatcher(
         exchange->service->id,
-        schedule::RequestEnded{grant.id, EndKind::kNotSent, 0, 0});
+        schedule::RequestFinished{grant.id, RequestOutcome::kNotSent, 0, 0});
   }
   Send(*exchange, *server);
 }
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -133,7 +133,7 @@
   bool Retry(Exchange& exchange, std::string_view reason);
   // Records that the server has finished the current transfer.
   void FinishTransfer(Exchange& exchange);
-  void FinishAttempt(Exchange& exchange, schedule::EndKind kind);
+  void FinishAttempt(Exchange& exchange, schedule::RequestOutcome kind);
 
   // The outcomes of a request.
   void FinishResponse(Exchange& exchange);
--- a/src/gateway/forwarder_attempt.cc
+++ b/src/gateway/forwarder_attempt.cc
@@ -13,7 +13,7 @@
 namespace gentianlb::gateway {
 namespace {
 
-using schedule::EndKind;
+using schedule::RequestOutcome;
 
 // One server without free capacity is common. If a third has none either, all
 // are probably full, and each attempt costs the servers something.
@@ -91,14 +91,15 @@
         use.running = static_cast<std::uint16_t>(running->second);
       }
       if (groups_ != nullptr) {
-        use.alone = static_cast<std::uint16_t>(
+        use.ungranted = static_cast<std::uint16_t>(
             std::max(0, use.running - groups_->GrantedOn(server.id)));
       }
-      if (const auto slowdown = queue.dispatcher().PaceOf(server.id)) {
-        use.prefill = static_cast<float>(slowdown->prefill);
-        use.decode = static_cast<float>(slowdown->decode);
+      if (const auto slowdown =
+              queue.dispatcher().MeasuredSlowdown(server.id)) {
+        use.prefill_slowdown = static_cast<float>(slowdown->prefill);
+        use.decode_slowdown = static_cast<float>(slowdown->decode);
       }
-      if (use.running > 0 || use.decode > 0) uses.push_back(use);
+      if (use.running > 0 || use.decode_slowdown > 0) uses.push_back(use);
     }
   }
   return uses;
@@ -114,13 +115,14 @@
       ServerUse& notified = notified_peer_uses_[server.id];
       if (notified.running != use.running) {
         NotifyDispatcher(service.id,
-                         schedule::LoadElsewhere{server.id, use.running});
+                         schedule::PeerLoadReported{server.id, use.running});
       }
-      const bool has_slowdown = use.decode > 0 && service.engine;
-      if (has_slowdown &&
-          (notified.decode != use.decode || notified.prefill != use.prefill)) {
-        NotifyDispatcher(service.id, schedule::PaceElsewhere{
-                                         server.id, use.prefill, use.decode});
+      const bool has_slowdown = use.decode_slowdown > 0 && service.engine;
+      if (has_slowdown && (notified.decode_slowdown != use.decode_slowdown ||
+                           notified.prefill_slowdown != use.prefill_slowdown)) {
+        NotifyDispatcher(service.id, schedule::PeerSlowdownReported{
+                                         server.id, use.prefill_slowdown,
+                                         use.decode_slowdown});
       }
       notified = use;
     }
@@ -139,9 +141,9 @@
   if (!load) return http::Reading::kGoOn;
   // Applying the decisions that follow may finish this request too.
   const ExchangeId id = exchange.id;
-  NotifyDispatcher(exchange.service->id,
-                   schedule::LoadAnswered{exchange.attempt.server->id,
-                                          load->running, load->waiting});
+  NotifyDispatcher(exchange.service->id, schedule::ResponseLoadReported{
+                                             exchange.attempt.server->id,
+                                             load->running, load->waiting});
   return Find(id) == nullptr ? http::Reading::kStop : http::Reading::kGoOn;
 }
 
@@ -192,7 +194,8 @@
     --exchange.attempts;
     return NotifyDispatcher(
         exchange.service->id,
-        schedule::RequestEnded{attempt.dispatch_id, EndKind::kNotSent, 0, 0});
+        schedule::RequestFinished{attempt.dispatch_id, RequestOutcome::kNotSent,
+                                  0, 0});
   }
   if (attempt.has_head && attempt.head.not_run) return OnShed(exchange);
   if (end != http::TransferEnd::kComplete) return OnFailure(exchange, detail);
@@ -203,7 +206,7 @@
   OnResponseComplete(exchange);
 }
 
-void Forwarder::FinishAttempt(Exchange& exchange, EndKind kind) {
+void Forwarder::FinishAttempt(Exchange& exchange, RequestOutcome kind) {
   const RequestId dispatch_id = exchange.attempt.dispatch_id;
   if (dispatch_id.empty()) return;
   exchange.attempt.dispatch_id = RequestId();
@@ -214,13 +217,14 @@
              exchange.service->engine->tokens_per_event;
   }
   NotifyDispatcher(exchange.service->id,
-                   schedule::RequestEnded{dispatch_id, kind, tokens, 0});
+                   schedule::RequestFinished{dispatch_id, kind, tokens, 0});
 }
 
 void Forwarder::OnResponseComplete(Exchange& exchange) {
   // A server that fails fast must not look like a fast server.
   const bool failed = IsServerFailure(exchange.attempt.head.status);
-  FinishAttempt(exchange, failed ? EndKind::kBroken : EndKind::kComplete);
+  FinishAttempt(exchange,
+                failed ? RequestOutcome::kFailed : RequestOutcome::kComplete);
   FinishResponse(exchange);
 }
 
@@ -234,7 +238,7 @@
             << " wrong_server=" << wrong;
   ++exchange.shed_attempts;
   const ExchangeId id = exchange.id;
-  FinishAttempt(exchange, EndKind::kShed);
+  FinishAttempt(exchange, RequestOutcome::kShed);
   if (wrong && on_wrong_server_) on_wrong_server_(server);
   if (Find(id) == nullptr) return;
   if (exchange.shed_attempts <= kMaxSheds && Retry(exchange, "not run")) return;
@@ -253,7 +257,7 @@
   const bool complete_failure =
       exchange.attempt.has_head && IsServerFailure(head.status);
   std::string body = std::move(exchange.body);
-  FinishAttempt(exchange, EndKind::kBroken);
+  FinishAttempt(exchange, RequestOutcome::kFailed);
   const int executions = exchange.attempts - exchange.shed_attempts;
   if (exchange.safe_to_retry() && executions < exchange.route->max_attempts &&
       Retry(exchange, "may have run")) {
--- a/src/gateway/forwarder_finish.cc
+++ b/src/gateway/forwarder_finish.cc
@@ -12,7 +12,7 @@
 namespace gentianlb::gateway {
 namespace {
 
-using schedule::EndKind;
+using schedule::RequestOutcome;
 
 // Returns the status of a refusal: 503 or 429 if the request was not run and
 // may be retried, 502 or 504 if it may have run.
@@ -150,14 +150,15 @@
   if (exchange.attempt.transfer != 0) {
     servers_.cancel(exchange.attempt.transfer);
     FinishTransfer(exchange);
-    FinishAttempt(exchange, EndKind::kCancelled);
+    FinishAttempt(exchange, RequestOutcome::kCancelled);
     return;
   }
   const RequestId dispatch_id = exchange.attempt.dispatch_id;
   if (dispatch_id.empty()) return;
   exchange.attempt.dispatch_id = RequestId();
   exchange_by_dispatch_id_.erase(dispatch_id);
-  NotifyDispatcher(exchange.service->id, schedule::CallerGone{dispatch_id});
+  NotifyDispatcher(exchange.service->id,
+                   schedule::CallerDisconnected{dispatch_id});
 }
 
 void Forwarder::Remove(ExchangeId id) {
--- a/src/gateway/group_dispatchers.cc
+++ b/src/gateway/group_dispatchers.cc
@@ -129,11 +129,11 @@
   if (const auto* running = std::get_if<schedule::RequestRunning>(&event)) {
     kept->of_hosts[from][running->request.id] = now;
   }
-  if (const auto* gone = std::get_if<schedule::CallerGone>(&event)) {
+  if (const auto* gone = std::get_if<schedule::CallerDisconnected>(&event)) {
     return End(item.group, kept, gone->id, now);
   }
-  if (const auto* ended = std::get_if<schedule::RequestEnded>(&event)) {
-    if (ended->kind == schedule::EndKind::kNotSent) {
+  if (const auto* ended = std::get_if<schedule::RequestFinished>(&event)) {
+    if (ended->kind == schedule::RequestOutcome::kNotSent) {
       return Ask(item.group, kept, ended->id, from, event, now);
     }
     if (kept->waiting.contains(ended->id)) {
@@ -159,10 +159,12 @@
                            const RequestId& id, absl::Time now) {
   for (auto& [host, requests] : kept->of_hosts) requests.erase(id);
   if (kept->waiting.erase(id) > 0) {
-    Handle(group, kept, schedule::CallerGone{id}, now);
+    Handle(group, kept, schedule::CallerDisconnected{id}, now);
   }
-  Handle(group, kept,
-         schedule::RequestEnded{id, schedule::EndKind::kCancelled, 0, 0}, now);
+  Handle(
+      group, kept,
+      schedule::RequestFinished{id, schedule::RequestOutcome::kCancelled, 0, 0},
+      now);
 }
 
 void GroupDispatchers::Reconcile(const GroupKey& group, Kept* kept,
@@ -234,11 +236,11 @@
     for (const ServerEntry& server : known.servers) {
       if (kept.queue.FindServer(server.id) == nullptr) continue;
       const auto found = uses.find(HashName(server.id.str()));
-      const int alone = found == uses.end() ? 0 : found->second.alone;
+      const int alone = found == uses.end() ? 0 : found->second.ungranted;
       int& told = kept.alone[server.id];
       if (told == alone) continue;
       told = alone;
-      Handle(group, &kept, schedule::LoadElsewhere{server.id, alone}, now);
+      Handle(group, &kept, schedule::PeerLoadReported{server.id, alone}, now);
     }
   }
 }
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -37,8 +37,8 @@
   options.queue.host = settings.id;
   options.limit_tolerance_tokens = settings.limit_tolerance_tokens;
   options.queue.dispatcher.seed = SeedOf(settings);
-  options.queue.dispatcher.preempts = false;
-  options.queue.dispatcher.shortest_come_back = absl::Milliseconds(300);
+  options.queue.dispatcher.allow_preemption = false;
+  options.queue.dispatcher.min_retry_after = absl::Milliseconds(300);
   options.queue.retries.retries_per_call =
       kRetryShare * settings.retries_per_request;
   options.retry_burst = settings.retry_burst;
@@ -102,13 +102,13 @@
       sharing_(
           settings.id.str(),
           {&configuration_subscription_, &server_subscription_},
-          {.hand_on =
+          {.propagate =
                [this](const TableChanges& changes) {
-                 SendChanges(peers_->fleet().Followers(), changes);
+                 SendChanges(peers_->fleet().LiveZonePeers(), changes);
                },
-           .ask = [this](const TableQuestion& question,
-                         int tries) { AskOthers(question, tries); },
-           .answer =
+           .query = [this](const TableQuery& question,
+                           int tries) { QueryPeers(question, tries); },
+           .reply =
                [this](const std::string& host, const TableChanges& changes) {
                  SendChanges({host}, changes);
                }},
@@ -125,7 +125,7 @@
   std::unique_ptr<Host> host(
       new Host(settings, std::move(platform), loop, log));
   if (auto error = host->Listen()) return *error;
-  if (auto error = host->MeetPeers()) return *error;
+  if (auto error = host->StartPeers()) return *error;
   host->forwarder_.OnWrongServer([self = host.get()](const ServerId& server) {
     // Another server responds at this address, whatever the registration says.
     if (self->directory_.Update(server.str(), std::nullopt,
@@ -231,17 +231,17 @@
                static_cast<double>(directory_.size()));
   metrics_.Set("gentianlb_ready", "1 when the host is ready for callers", {},
                ready() ? 1 : 0);
-  for (const TableFollower* subscriber :
+  for (const TableSubscriber* subscriber :
        {&configuration_subscription_, &server_subscription_}) {
     const prometheus::Labels table = {{"table", subscriber->table()}};
     metrics_.Set("gentianlb_table_up", "1 while the table service answers",
                  table, subscriber->up() ? 1 : 0);
     metrics_.Set("gentianlb_table_follows",
                  "1 while this host polls the table service itself", table,
-                 subscriber->follows() ? 1 : 0);
+                 subscriber->subscribed() ? 1 : 0);
     metrics_.Set("gentianlb_table_behind_seconds",
                  "Time since a change became known that this host lacks", table,
-                 absl::ToDoubleSeconds(subscriber->Behind()));
+                 absl::ToDoubleSeconds(subscriber->Lag()));
   }
   metrics_.Set("gentianlb_log_lines_left_out",
                "Log lines dropped at the log's size limit", {},
--- a/src/gateway/host.h
+++ b/src/gateway/host.h
@@ -18,9 +18,9 @@
 #include "gateway/messages.h"
 #include "gateway/peers.h"
 #include "gateway/startup_queue.h"
-#include "gateway/table_follower.h"
 #include "gateway/table_recovery.h"
 #include "gateway/table_sharing.h"
+#include "gateway/table_subscriber.h"
 #include "http/server.h"
 #include "log/bounded_log.h"
 #include "loop/event_loop.h"
@@ -71,15 +71,15 @@
        loop::EventLoop* loop, log::BoundedLog* log);
 
   std::optional<Error> Listen();
-  std::optional<Error> MeetPeers();
-  void ComposeNews(FleetNews* news);
-  void TakeOthers(const FleetNews& others);
-  void TakeOther(std::string_view bytes);
+  std::optional<Error> StartPeers();
+  void ComposeUpdate(FleetUpdate* update);
+  void OnPeersUpdate(const FleetUpdate& peers);
+  void OnPeerMessage(std::string_view bytes);
   // Applies the current state of the peers to limits and table sharing.
-  void UseNews(absl::Time now);
+  void ApplyPeerState(absl::Time now);
   void SendChanges(const std::vector<std::string>& hosts,
                    const TableChanges& changes);
-  void AskOthers(const TableQuestion& question, int tries);
+  void QueryPeers(const TableQuery& query, int tries);
   void HandleRequest(http::Request request,
                      std::shared_ptr<http::Responder> responder);
   void HandleReadinessCheck(const http::Request& request,
@@ -103,16 +103,16 @@
   Forwarder forwarder_;
   GroupLink groups_;
   StartupQueue startup_queue_;
-  TableFollower configuration_subscription_;
-  TableFollower server_subscription_;
+  TableSubscriber configuration_subscription_;
+  TableSubscriber server_subscription_;
   TableSharing sharing_;
   TableRecovery table_recovery_;
   std::unique_ptr<Peers> peers_;
   std::unique_ptr<http::Server> caller_server_;
   std::unique_ptr<http::Server> readiness_server_;
   std::unique_ptr<http::Server> metrics_server_;
-  int hosts_told_ = 1;  // To the forwarder.
-  absl::Time hosts_told_at_ = absl::InfinitePast();
+  int reported_hosts_ = 1;  // To the forwarder.
+  absl::Time reported_hosts_at_ = absl::InfinitePast();
   std::vector<TimerId> timers_;
   TimerId expiry_timer_ = 0;
   bool draining_ = false;
--- a/src/gateway/quota.cc
+++ b/src/gateway/quota.cc
@@ -63,7 +63,7 @@
   while (at < now) {
     const absl::Duration step = std::min(kAdvanceStep, now - at);
     at += step;
-    bucket->tokens.Empty(at);  // Adds earned tokens.
+    bucket->tokens.IsEmpty(at);  // Adds earned tokens.
     bucket->unreported.Advance(
         step, bucket->tokens.level() > bucket->unreported.tokens());
   }
@@ -73,7 +73,7 @@
 void Quotas::Charge(NameHash workspace, double tokens, absl::Time now) {
   const auto found = buckets_.find(workspace);
   if (found == buckets_.end()) return;
-  found->second.tokens.Empty(now);  // Adds earned tokens first.
+  found->second.tokens.IsEmpty(now);  // Adds earned tokens first.
   found->second.tokens.Take(tokens);
 }
 
@@ -106,7 +106,7 @@
                           bucket.unreported.tokens();
   if (bucket.tokens.level() <= reserved) {
     // Not before the peers have reported their use.
-    return std::max(bucket.tokens.UntilFilled(reserved),
+    return std::max(bucket.tokens.TimeUntilLevel(reserved),
                     bucket.peer_demand.report_delay);
   }
   bucket.tokens.Take(tokens);
--- a/src/gateway/service_queue.cc
+++ b/src/gateway/service_queue.cc
@@ -21,13 +21,13 @@
   schedule::ServerSpec spec;
   spec.id = entry.id;
   spec.max_streams = entry.streams;
-  spec.reluctance = affinity.cost_factor;
-  spec.alike = affinity.expected_competitors;
+  spec.cost_factor = affinity.cost_factor;
+  spec.expected_competitors = affinity.expected_competitors;
   if (!service.engine) return spec;
   spec.models = service.engine->models;
   spec.prefill_tokens_per_second = initial_speed_.prefill_tokens_per_second;
   spec.decode_tokens_per_second = initial_speed_.decode_tokens_per_second;
-  spec.speeds_guessed = true;
+  spec.speeds_estimated = true;
   spec.kv_tokens = service.engine->kv_tokens;
   spec.cache_tokens = service.engine->kv_tokens;
   return spec;
--- a/src/gateway/table_sharing_test.cc
+++ b/src/gateway/table_sharing_test.cc
@@ -1,4 +1,4 @@
-// Hosts of a fleet that share the following of a table, in virtual time.
+// Tests, in virtual time, how the hosts of a fleet receive a table's changes.
 
 #include "gateway/table_sharing.h"
 
@@ -16,20 +16,20 @@
 namespace gentianlb::gateway {
 namespace {
 
-constexpr absl::Duration kSettled = absl::Seconds(6);
-// The shortest time after which a confirmed change must be in force.
-constexpr absl::Duration kPromised = absl::Seconds(2);
-// Between the service's turning hosts away and the change that they miss.
-constexpr absl::Duration kShortly = absl::Milliseconds(80);
+constexpr absl::Duration kSettlingTime = absl::Seconds(6);
+// Time within which a confirmed change must be in force.
+constexpr absl::Duration kChangeDeadline = absl::Seconds(2);
+// Time between the failure of the service and the change.
+constexpr absl::Duration kChangeDelay = absl::Milliseconds(80);
 
-using Message = std::variant<TableChanges, TableQuestion>;
+using Message = std::variant<TableChanges, TableQuery>;
 
 class SharingSite {
  public:
   SharingSite(int count, int zones, std::uint64_t seed) : fleet_(seed) {
     fleet_.Add(count, zones);
     for (int i = 0; i < count; ++i) members_.push_back(MakeMember(i));
-    Pass(kSettled);
+    Pass(kSettlingTime);
   }
 
   void Pass(absl::Duration span) {
@@ -39,29 +39,30 @@
   std::set<std::size_t> Aggregators() {
     std::set<std::size_t> found;
     for (std::size_t i = 0; i < members_.size(); ++i) {
-      if (members_[i].host->fleet->aggregates()) found.insert(i);
+      if (members_[i].host->fleet->is_aggregator()) found.insert(i);
     }
     return found;
   }
 
-  std::set<std::size_t> WhoFollow() const {
+  std::set<std::size_t> Subscribed() const {
     std::set<std::size_t> found;
     for (std::size_t i = 0; i < members_.size(); ++i) {
-      if (members_[i].follower->follows()) found.insert(i);
+      if (members_[i].subscriber->subscribed()) found.insert(i);
     }
     return found;
   }
 
-  // The table changes shortly after what was done to the service. So many hosts
-  // don't know it when they should, but for `excused` ones.
-  int BehindAfterAChange(const std::set<std::size_t>& excused) {
-    Pass(kShortly);
+  // Changes the table shortly after a failure of the service. Returns the
+  // number of hosts that lack the change at the deadline, without those in
+  // `excused`.
+  int CountLaggingAfterChange(const std::set<std::size_t>& excused) {
+    Pass(kChangeDelay);
     table.Change();
-    Pass(kPromised);
-    return Behind(excused);
+    Pass(kChangeDeadline);
+    return CountLagging(excused);
   }
 
-  // The process is started again, and knows nothing.
+  // Restarts the host without state.
   void Restart(std::size_t host) {
     const std::string& name = members_[host].host->entry.host;
     members_[host] = Member();
@@ -69,21 +70,22 @@
     members_[host] = MakeMember(static_cast<int>(host));
   }
 
-  // Hosts that don't know the newest change, but for `excused` ones.
-  int Behind(const std::set<std::size_t>& excused) const {
-    int behind = 0;
+  // Returns the number of hosts that lack the newest change, without those in
+  // `excused`.
+  int CountLagging(const std::set<std::size_t>& excused) const {
+    int lagging = 0;
     for (std::size_t i = 0; i < members_.size(); ++i) {
-      const bool knows =
-          members_[i].follower->newest_change() >= table.version();
-      if (!knows && !excused.contains(i)) ++behind;
+      const bool up_to_date =
+          members_[i].subscriber->newest_change() >= table.version();
+      if (!up_to_date && !excused.contains(i)) ++lagging;
     }
-    return behind;
+    return lagging;
   }
 
  private:
   struct Member {
     FleetSite::Host* host = nullptr;
-    std::unique_ptr<TableFollower> follower;
+    std::unique_ptr<TableSubscriber> subscriber;
     std::unique_ptr<TableSharing> sharing;
   };
 
@@ -93,54 +95,56 @@
     const std::string name = FleetSite::Name(number);
     Member member;
     member.host = &fleet_.hosts.at(name);
-    member.follower = std::make_unique<TableFollower>(
-        TableFollowerOptions{.table = "t"},
+    member.subscriber = std::make_unique<TableSubscriber>(
+        TableSubscriberOptions{.table = "t"},
         table.PortFor(static_cast<std::size_t>(number)), &timers_,
         [this] { return now(); }, fleet_.random(),
         [](const std::vector<TableRow>&, bool, absl::Time) {},
         [](bool, absl::Time) {});
     FleetSite::Host* host = member.host;
     member.sharing = std::make_unique<TableSharing>(
-        name, std::vector<TableFollower*>{member.follower.get()},
+        name, std::vector<TableSubscriber*>{member.subscriber.get()},
         TableSharingHooks{
-            .hand_on =
+            .propagate =
                 [this, host](const TableChanges& changes) {
-                  Send(host->fleet->Followers(), changes);
+                  Send(host->fleet->LiveZonePeers(), changes);
                 },
-            .ask =
-                [this, host](const TableQuestion& question, int tries) {
-                  Send(host->fleet->WhomToAsk(tries, fleet_.random()),
-                       question);
+            .query =
+                [this, host](const TableQuery& query, int tries) {
+                  Send(host->fleet->QueryTargets(tries, fleet_.random()),
+                       query);
                 },
-            .answer =
-                [this](const std::string& to, const TableChanges& changes) {
-                  Send({to}, changes);
-                }},
+            .reply = [this](
+                         const std::string& to,
+                         const TableChanges& changes) { Send({to}, changes); }},
         now());
     TableSharing* sharing = member.sharing.get();
-    host->compose = [sharing](FleetNews* own) {
-      own->tables = sharing->Tell();
+    host->compose = [sharing](FleetUpdate* own) {
+      own->tables = sharing->TableStates();
     };
-    host->on_others = [this, sharing](const FleetNews& others) {
-      sharing->HeardOthers(others, now());
+    host->on_peers = [this, sharing](const FleetUpdate& peers) {
+      sharing->OnPeersUpdate(peers, now());
     };
-    host->on_zone = [this, sharing](const FleetNews& zone) {
-      sharing->HeardZone(zone, now());
+    host->on_zone = [this, sharing](const FleetUpdate& zone) {
+      sharing->OnZoneUpdate(zone, now());
     };
-    member.follower->Start();
+    member.subscriber->Start();
     return member;
   }
 
   void Send(const std::vector<std::string>& hosts, const Message& message) {
-    for (const std::string& host : hosts) flying_.emplace_back(host, message);
+    for (const std::string& host : hosts) queue_.emplace_back(host, message);
   }
 
   void Deliver() {
-    for (const auto& [to, message] : std::exchange(flying_, {})) {
+    for (const auto& [to, message] : std::exchange(queue_, {})) {
       for (Member& member : members_) {
         if (member.host->entry.host != to) continue;
-        std::visit([&](const auto& held) { member.sharing->Take(held); },
-                   message);
+        std::visit(
+            [&](const auto& content) {
+              member.sharing->HandleMessage(content);
+            },
+            message);
       }
     }
   }
@@ -152,13 +156,14 @@
     Deliver();
     const int hosts = static_cast<int>(members_.size());
     for (Member& member : members_) {
-      member.sharing->Choose({member.host->fleet->aggregates(), hosts}, now());
+      member.sharing->UpdateModes({member.host->fleet->is_aggregator(), hosts},
+                                  now());
     }
   }
 
   FleetSite fleet_;
   TimerService timers_;
-  std::vector<std::pair<std::string, Message>> flying_;
+  std::vector<std::pair<std::string, Message>> queue_;
 
  public:
   FakeTableService table{&fleet_.now};
@@ -173,92 +178,95 @@
 };
 const std::vector<Size> sizes = {{8, 4}, {64, 3}, {195, 6}};
 
-// Guards against hosts that the service would answer, and that stay on an old
-// configuration since it refuses all who follow for them.
+// Guards against hosts that stay on an old configuration because the service,
+// which would answer them, refuses all aggregators.
 BOOST_AUTO_TEST_CASE(AChangeIsKnownThoughTheServiceRefusesAllAggregators) {
   for (const auto& [hosts, zones] : sizes) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
       const std::set<std::size_t> refused = site.Aggregators();
       site.table.refused = refused;
-      BOOST_TEST(site.BehindAfterAChange(refused) == 0,
+      BOOST_TEST(site.CountLaggingAfterChange(refused) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
 }
 
-// The same where it refuses whoever follows, and others must try for
-// themselves.
-BOOST_AUTO_TEST_CASE(AChangeIsKnownThoughTheServiceRefusesAllWhoFollow) {
+// The same when the service refuses all subscribed hosts, standbys included, so
+// that other hosts must probe it.
+BOOST_AUTO_TEST_CASE(AChangeIsKnownThoughTheServiceRefusesAllSubscribers) {
   for (const auto& [hosts, zones] : {Size{64, 3}, Size{195, 6}}) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
-      const std::set<std::size_t> refused = site.WhoFollow();
+      const std::set<std::size_t> refused = site.Subscribed();
       BOOST_TEST(refused.size() < 30);
       site.table.refused = refused;
-      BOOST_TEST(site.BehindAfterAChange(refused) == 0,
+      BOOST_TEST(site.CountLaggingAfterChange(refused) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
 }
 
-// Followers cost calls: they must not grow with the hosts.
-BOOST_AUTO_TEST_CASE(CallsOfACalmMinuteDontGrowWithTheHosts) {
+// Guards against calls to the service that grow with the number of hosts.
+BOOST_AUTO_TEST_CASE(IdleCallsDontGrowWithTheHosts) {
   SharingSite site(195, 6, 1);
   const int before = site.table.calls;
   site.Pass(absl::Minutes(1));
-  // One watches with a call a second; others make one in half a minute.
+  // The monitor makes a call per second, the others one per half a minute.
   BOOST_TEST(site.table.calls - before <= 60 + 30 * 3);
-  BOOST_TEST(site.WhoFollow().size() >= 6 + 3);
+  BOOST_TEST(site.Subscribed().size() >= 6 + 3);
 }
 
-// The same where their calls are swallowed, which they notice late.
-BOOST_AUTO_TEST_CASE(AChangeIsKnownThoughTheServiceIsSilentToAllAggregators) {
+// The same when the service doesn't answer the aggregators, which they detect
+// late.
+BOOST_AUTO_TEST_CASE(
+    AChangeIsKnownThoughTheServiceIsUnresponsiveToAllAggregators) {
   for (const auto& [hosts, zones] : sizes) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
-      const std::set<std::size_t> unheard = site.Aggregators();
-      site.table.BeSilentTo(unheard);
-      BOOST_TEST(site.BehindAfterAChange(unheard) == 0,
+      const std::set<std::size_t> unresponsive = site.Aggregators();
+      site.table.SetUnresponsiveTo(unresponsive);
+      BOOST_TEST(site.CountLaggingAfterChange(unresponsive) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
 }
 
-// The same where the calls of whoever follows are swallowed, and nobody tries.
+// The same when the service doesn't answer any subscribed host, and no other
+// host probes it.
 BOOST_AUTO_TEST_CASE(AChangeIsKnownThoughTheServiceIsSilentToAllWhoFollow,
                      *boost::unit_test::disabled()) {  // See KNOWN-RED.txt.
   for (const auto& [hosts, zones] : {Size{64, 3}, Size{195, 6}}) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
-      const std::set<std::size_t> unheard = site.WhoFollow();
-      site.table.BeSilentTo(unheard);
-      BOOST_TEST(site.BehindAfterAChange(unheard) == 0,
+      const std::set<std::size_t> unresponsive = site.Subscribed();
+      site.table.SetUnresponsiveTo(unresponsive);
+      BOOST_TEST(site.CountLaggingAfterChange(unresponsive) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
 }
 
-// Who is refused still serves callers, and must not do so by what was
-// withdrawn: it hears from others.
-BOOST_AUTO_TEST_CASE(HostsThatTheServiceRefusesKnowAChangeToo) {
+// Guards against refused hosts that serve callers by a withdrawn configuration.
+// They must receive the change from peers.
+BOOST_AUTO_TEST_CASE(HostsThatTheServiceRefusesReceiveAChangeToo) {
   for (const auto& [hosts, zones] : sizes) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       SharingSite site(hosts, zones, seed);
       site.table.refused = site.Aggregators();
-      // Each third host besides.
+      // Refuses every third host as well.
       for (int i = 0; i < hosts; i += 3) {
         site.table.refused.insert(static_cast<std::size_t>(i));
       }
-      BOOST_TEST(site.BehindAfterAChange({}) == 0,
+      BOOST_TEST(site.CountLaggingAfterChange({}) == 0,
                  hosts << " hosts, seed " << seed);
     }
   }
 }
 
-// Hosts that are started while the service is away serve by what others know,
-// and not nobody until it is back.
-BOOST_AUTO_TEST_CASE(HostsStartedWhileTheServiceIsAwayLearnTheTable) {
+// Hosts that start while the service is unavailable must receive the table from
+// peers, or they serve no callers until it recovers.
+BOOST_AUTO_TEST_CASE(HostsStartedDuringAnOutageReceiveTheTable) {
   for (const auto& [hosts, zones] : sizes) {
     SharingSite site(hosts, zones, 1);
     for (int i = 0; i < hosts; ++i) {
@@ -269,7 +277,7 @@
       site.Restart(static_cast<std::size_t>(i));
     }
     site.Pass(absl::Seconds(3));
-    BOOST_TEST(site.Behind({}) == 0, hosts << " hosts");
+    BOOST_TEST(site.CountLagging({}) == 0, hosts << " hosts");
   }
 }
 
--- a/src/gateway/use_counters.h
+++ b/src/gateway/use_counters.h
@@ -44,9 +44,8 @@
     std::vector<UseDelta> deltas;
     for (const WorkspaceUse& use : uses) {
       WorkspaceUse& previous = last_reported_[use.workspace];
-      UseDelta delta{use.workspace,
-                     Increase(previous.let_through, use.let_through),
-                     Increase(previous.given_back, use.given_back)};
+      UseDelta delta{use.workspace, Increase(previous.admitted, use.admitted),
+                     Increase(previous.refunded, use.refunded)};
       previous = use;
       if (first) delta = CountFirst(delta, use, counting);
       const bool unchanged = delta.admitted == 0 && delta.refunded == 0;
@@ -60,7 +59,7 @@
                              FirstMessage counting) {
     if (counting == FirstMessage::kAll) return increase;
     if (counting == FirstMessage::kIgnore) return {use.workspace};
-    return {use.workspace, static_cast<std::uint64_t>(use.unheard)};
+    return {use.workspace, static_cast<std::uint64_t>(use.unreported)};
   }
 
   static std::uint64_t Increase(std::uint64_t previous, std::uint64_t current) {
--- a/src/schedule/limits.cc
+++ b/src/schedule/limits.cc
@@ -5,46 +5,47 @@
 namespace gentianlb::schedule {
 namespace {
 
-// A workspace may use ten seconds of its rate at once: bursts of a form being
-// sent are let through, a loop is not.
+// Capacity of a workspace's token bucket, as seconds of its rate. Allows short
+// bursts, such as a form being submitted, but not a client that sends in a
+// loop.
 constexpr double kBurstSeconds = 10;
 
-// Weights come from operators; zero would stop a workspace for ever.
+// Weights are operator input; a weight of 0 would block a workspace forever.
 constexpr double kMinWeight = 0.001;
 
 }  // namespace
 
 void TokenBucket::SetRate(double per_second, double capacity, absl::Time now) {
-  // A new rate starts with a full bucket; the same one keeps its debt.
+  // An unchanged rate keeps the level, including a negative one.
   if (per_second == rate_ && capacity == capacity_) return;
   rate_ = per_second;
   capacity_ = capacity;
   level_ = capacity;
-  filled_ = now;
+  refilled_at_ = now;
 }
 
 void TokenBucket::Rescale(double per_second, double capacity, absl::Time now) {
   if (capacity_ <= 0) return SetRate(per_second, capacity, now);
-  Empty(now);  // Earned so far at the old rate.
-  if (level_ > 0) level_ *= capacity / capacity_;  // A debt stays what it is.
+  IsEmpty(now);  // Adds the tokens earned at the old rate.
+  if (level_ > 0) level_ *= capacity / capacity_;  // A debt is not scaled.
   rate_ = per_second;
   capacity_ = capacity;
 }
 
-bool TokenBucket::Empty(absl::Time now) {
-  const double earned = rate_ * absl::ToDoubleSeconds(now - filled_);
+bool TokenBucket::IsEmpty(absl::Time now) {
+  const double earned = rate_ * absl::ToDoubleSeconds(now - refilled_at_);
   level_ = std::min(capacity_, level_ + earned);
-  filled_ = now;
+  refilled_at_ = now;
   return level_ <= 0;
 }
 
-absl::Duration TokenBucket::UntilFilled(double level) const {
+absl::Duration TokenBucket::TimeUntilLevel(double level) const {
   if (level_ > level || rate_ <= 0) return absl::ZeroDuration();
   return absl::Seconds((level - level_) / rate_);
 }
 
-WorkspaceIndex WorkspaceLimits::Number(const WorkspaceId& id) {
-  const WorkspaceIndex index = numbers_.Number(id);
+WorkspaceIndex WorkspaceLimits::IndexOf(const WorkspaceId& id) {
+  const WorkspaceIndex index = ids_.Intern(id);
   if (index == states_.size()) {
     states_.emplace_back();
     states_[index].spec.id = id;
@@ -55,7 +56,7 @@
 void WorkspaceLimits::Configure(const std::vector<WorkspaceSpec>& specs,
                                 absl::Time now) {
   for (const WorkspaceSpec& spec : specs) {
-    State& state = states_[Number(spec.id)];
+    State& state = states_[IndexOf(spec.id)];
     state.spec = spec;
     state.tokens.SetRate(spec.tokens_per_second,
                          spec.tokens_per_second * kBurstSeconds, now);
@@ -71,8 +72,8 @@
                                                   absl::Time now) {
   State& state = states_[workspace];
   const WorkspaceSpec& spec = state.spec;
-  if (spec.tokens_per_second > 0 && state.tokens.Empty(now)) {
-    return LimitBreach{Code::kRateLimited, state.tokens.UntilFilled()};
+  if (spec.tokens_per_second > 0 && state.tokens.IsEmpty(now)) {
+    return LimitBreach{Code::kRateLimited, state.tokens.TimeUntilLevel()};
   }
   const int in_flight = state.waiting + state.running;
   if (spec.max_concurrent > 0 && in_flight >= spec.max_concurrent) {
@@ -85,13 +86,14 @@
   return std::nullopt;
 }
 
-void WorkspaceLimits::Waits(WorkspaceIndex workspace, const Request& request) {
+void WorkspaceLimits::AddWaiting(WorkspaceIndex workspace,
+                                 const Request& request) {
   ++states_[workspace].waiting;
   states_[workspace].waiting_bytes += request.body_bytes;
 }
 
-void WorkspaceLimits::WaitsNoMore(WorkspaceIndex workspace,
-                                  const Request& request) {
+void WorkspaceLimits::RemoveWaiting(WorkspaceIndex workspace,
+                                    const Request& request) {
   --states_[workspace].waiting;
   states_[workspace].waiting_bytes -= request.body_bytes;
 }
--- /dev/null
+++ b/src/schedule/server_set.cc
@@ -0,0 +1,194 @@
+#include "schedule/server_set.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "schedule/work.h"
+
+namespace gentianlb::schedule {
+namespace {
+
+// The request whose predicted finish time orders the servers in the index: one
+// page of prompt and one paragraph of output. Only the order matters; Placer
+// then compares the first few servers by the actual request.
+constexpr Demand kTypicalDemand = {.prefill_tokens = 1000,
+                                   .output_tokens = 250,
+                                   .kv_tokens = 0,
+                                   .plain = false};
+
+// A server that seems slow gets no work, and without work its measured speed is
+// never updated. So the measured slowdown of an idle server decays once per
+// interval.
+constexpr absl::Duration kRecheckInterval = absl::Seconds(1);
+
+// Relative change of the key below which a server keeps its place in the index.
+// Most updates change the key by less; Placer compares the candidates exactly.
+constexpr double kKeyTolerance = 0.02;
+
+// Returns whether `server` may take work, now or after a suspicion is cleared.
+bool Usable(const Server& server) {
+  return server.configured && (server.health == ServerHealth::kAlive ||
+                               server.health == ServerHealth::kSuspect);
+}
+
+}  // namespace
+
+std::vector<ServerIndex> ServerSet::Configure(
+    const std::vector<ServerSpec>& specs, absl::Time now) {
+  for (ServerIndex i = 0; i < servers_.size(); ++i) {
+    Unindex(i);
+    servers_[i].configured = false;
+    servers_[i].pools.clear();
+  }
+  for (Pool& pool : pools_) pool.servers.clear();
+  std::vector<ServerIndex> configured;
+  for (const ServerSpec& spec : specs) {
+    const ServerIndex server = server_ids_.Intern(spec.id);
+    if (server == servers_.size()) {
+      servers_.emplace_back(spec);
+      entries_.emplace_back();
+    }
+    servers_[server].Configure(spec);
+    // Servers of a plain service list no models and form the pool of the empty
+    // model.
+    if (spec.models.empty()) AddToPool(server, ModelId());
+    for (const ModelId& model : spec.models) AddToPool(server, model);
+    configured.push_back(server);
+  }
+  SummarizePools();
+  for (const ServerIndex server : configured) Reindex(server, now);
+  return configured;
+}
+
+PoolIndex ServerSet::FindOrAddPool(const ModelId& model) {
+  const PoolIndex index = models_.Intern(model);
+  if (index == pools_.size()) pools_.push_back(Pool{.model = model});
+  return index;
+}
+
+void ServerSet::AddToPool(ServerIndex server, const ModelId& model) {
+  const PoolIndex index = FindOrAddPool(model);
+  std::vector<PoolIndex>& pools = servers_[server].pools;
+  // A configuration may list a model twice.
+  if (std::find(pools.begin(), pools.end(), index) != pools.end()) return;
+  pools.push_back(index);
+  pools_[index].servers.push_back(server);
+}
+
+void ServerSet::SummarizePools() {
+  for (Pool& pool : pools_) {
+    pool.usable = 0;
+    pool.best_prefill_speed = 0;
+    pool.best_decode_speed = 0;
+    pool.capacity = 0;
+    for (const ServerIndex index : pool.servers) {
+      const Server& server = servers_[index];
+      if (!Usable(server)) continue;
+      ++pool.usable;
+      pool.best_prefill_speed = std::max(pool.best_prefill_speed,
+                                         server.spec.prefill_tokens_per_second);
+      pool.best_decode_speed = std::max(pool.best_decode_speed,
+                                        server.spec.decode_tokens_per_second);
+      pool.capacity += ServerCapacity(server.spec);
+    }
+  }
+}
+
+void ServerSet::SetHealth(ServerIndex server, ServerHealth health,
+                          absl::Time now) {
+  servers_[server].health = health;
+  SummarizePools();
+  Reindex(server, now);
+}
+
+void ServerSet::Unindex(ServerIndex server) {
+  IndexEntry& entry = entries_[server];
+  if (entry.recheck_at != absl::InfiniteFuture()) {
+    rechecks_.erase({entry.recheck_at, server});
+    entry.recheck_at = absl::InfiniteFuture();
+  }
+  if (!entry.open) return;
+  for (const PoolIndex pool : servers_[server].pools) {
+    pools_[pool].open.erase({entry.key, server});
+    if (entry.prefilling) {
+      pools_[pool].open_prefilling.erase({entry.key, server});
+    }
+  }
+  entry.open = false;
+}
+
+void ServerSet::Reindex(ServerIndex index, absl::Time now) {
+  const Server& server = servers_[index];
+  const bool probing = server.window.probing();
+  const bool open = server.IsOpen(now);
+  // A server that is due for a probe goes to the front with key 0. Otherwise it
+  // would get no request while other servers have free capacity.
+  double key = 0;
+  if (open && !probing) {
+    key = server.spec.cost_factor * server.FinishSeconds(kTypicalDemand, now);
+  }
+  if (open && !probing && KeepsPlace(index, key)) return;
+
+  Unindex(index);
+  IndexEntry& entry = entries_[index];
+  if (!server.window.IsOpen(now)) {
+    entry.recheck_at = server.window.closed_until();
+    rechecks_.insert({entry.recheck_at, index});
+    return;
+  }
+  if (!open) return;
+  entry.key = key;
+  entry.open = true;
+  entry.prefilling = server.prefilling() > 0;
+  const bool idle_slow = server.running() == 0 && server.speed.slowed();
+  if (probing || idle_slow) {
+    entry.recheck_at = now + kRecheckInterval;
+    rechecks_.insert({entry.recheck_at, index});
+  }
+  for (const PoolIndex pool : server.pools) {
+    pools_[pool].open.insert({entry.key, index});
+    if (entry.prefilling) {
+      pools_[pool].open_prefilling.insert({entry.key, index});
+    }
+  }
+}
+
+bool ServerSet::KeepsPlace(ServerIndex index, double key) const {
+  const IndexEntry& entry = entries_[index];
+  const Server& server = servers_[index];
+  return entry.open && entry.recheck_at == absl::InfiniteFuture() &&
+         server.running() > 0 &&
+         entry.prefilling == (server.prefilling() > 0) &&
+         std::abs(key - entry.key) <= kKeyTolerance * entry.key;
+}
+
+double ServerSet::OwnShare(PoolIndex pool, absl::Time now) const {
+  int own = 0;
+  int all = 0;
+  for (const ServerIndex index : pools_[pool].servers) {
+    const Server& server = servers_[index];
+    own += server.running();
+    all += server.running() + server.PeerStreams(now);
+  }
+  return (own + 1.0) / (all + 1.0);
+}
+
+absl::Time ServerSet::NextRecheckTime() const {
+  if (rechecks_.empty()) return absl::InfiniteFuture();
+  return rechecks_.begin()->first;
+}
+
+bool ServerSet::RecheckDue(absl::Time now) {
+  bool any = false;
+  while (!rechecks_.empty() && rechecks_.begin()->first <= now) {
+    const ServerIndex server = rechecks_.begin()->second;
+    // Without this, a server whose predicted times exceed every deadline would
+    // never get the request that could show it has recovered.
+    if (servers_[server].running() == 0) servers_[server].speed.Decay();
+    Reindex(server, now);
+    any = true;
+  }
+  return any;
+}
+
+}  // namespace gentianlb::schedule
