--- a/src/gateway/aggregate.cc
+++ b/src/gateway/aggregate.cc
@@ -97,13 +97,13 @@
   if (!IsLive(source, now)) {
     source.counters = UseCounters();
   }
-  for (const UseGrowth& growth :
-       source.counters.Take(update.incarnation, update.workspaces,
-                            FirstMessageRule(update, now))) {
+  for (const UseDelta& growth :
+       source.counters.Update(update.incarnation, update.workspaces,
+                              FirstMessageRule(update, now))) {
     const auto add = [&growth](Totals* totals) {
       Total& total = (*totals)[growth.workspace];
-      total.admitted += growth.let_through;
-      total.refunded += growth.given_back;
+      total.admitted += growth.admitted;
+      total.refunded += growth.refunded;
     };
     add(&source.contribution);
     add(&total_);
@@ -122,12 +122,12 @@
 
 FirstMessage Aggregate::FirstMessageRule(const FleetUpdate& update,
                                          absl::Time now) const {
-  if (IsOfZone(update)) return FirstMessage::kUnheard;
+  if (IsOfZone(update)) return FirstMessage::kUnreported;
   const auto zone = expected_zones_.find(update.sender.zone);
-  if (zone == expected_zones_.end()) return FirstMessage::kNothing;
+  if (zone == expected_zones_.end()) return FirstMessage::kIgnore;
   const bool started_since =
       now - zone->second.received >= absl::Milliseconds(update.age_ms);
-  return started_since ? FirstMessage::kAll : FirstMessage::kNothing;
+  return started_since ? FirstMessage::kAll : FirstMessage::kIgnore;
 }
 
 void Aggregate::MarkReceived(const FleetUpdate& update, absl::Time now) {
--- a/src/gateway/demand.cc
+++ b/src/gateway/demand.cc
@@ -7,163 +7,170 @@
 namespace gentianlb::gateway {
 namespace {
 
-// Demand that is counted for every host, as a part of all demand together, so
-// that the first callers at a quiet host find some.
-constexpr double kFloorPart = 0.1;
+// Demand assumed for all hosts together in addition to the actual demand, as a
+// fraction of it, so that the first callers at an idle host find a share.
+constexpr double kAssumedDemandFraction = 0.1;
 
-// How many periods pass until what a host lets through is heard of by another:
-// it waits for half a one before each of three messages, and those are not in
-// step.
-constexpr double kPeriodsUntilHeard = 2;
+// Mean number of update periods until a peer knows of an admission, which waits
+// for half a period before each of three unsynchronized messages.
+constexpr double kReportDelayPeriods = 2;
 
 }  // namespace
 
-double Demand::Own::PerSecond(absl::Time now) const {
-  return asked.At(now) / absl::ToDoubleSeconds(kMemory);
+double Demand::LocalUse::TokensPerSecond(absl::Time now) const {
+  return requested.At(now) / absl::ToDoubleSeconds(kDemandWindow);
 }
 
-void Demand::Asked(NameHash workspace, int rank, double tokens,
-                   absl::Time now) {
-  struct Own& own = own_[workspace];
-  own.asked.Add(tokens, now);
+void Demand::RecordRequest(NameHash workspace, int rank, double tokens,
+                           absl::Time now) {
+  struct LocalUse& own = by_workspace_[workspace];
+  own.requested.Add(tokens, now);
   own.by_rank[rank].tokens.Add(tokens, now);
   own.by_rank[rank].requests.Add(1, now);
 }
 
-double Demand::PartAbove(NameHash workspace, int rank, absl::Time now) const {
-  const auto own = own_.find(workspace);
-  if (own == own_.end()) return 0;
-  double above = 0;
-  double requests = 0;
-  for (const auto& [other, asked] : own->second.by_rank) {
+double Demand::HigherPriorityShare(NameHash workspace, int rank,
+                                   absl::Time now) const {
+  const auto own = by_workspace_.find(workspace);
+  if (own == by_workspace_.end()) return 0;
+  double higher_tokens = 0;
+  double higher_requests = 0;
+  for (const auto& [other, requested] : own->second.by_rank) {
     if (other >= rank) break;
-    above += asked.tokens.At(now);
-    requests += asked.requests.At(now);
+    higher_tokens += requested.tokens.At(now);
+    higher_requests += requested.requests.At(now);
   }
-  const auto same = own->second.by_rank.find(rank);
-  if (above <= 0 || same == own->second.by_rank.end()) return 0;
-  const double size = same->second.tokens.At(now) /
-                      std::max(1e-9, same->second.requests.At(now));
-  const double size_above = above / std::max(1e-9, requests);
-  return std::min(1.0, size / size_above) * above /
-         std::max(1.0, own->second.asked.At(now));
+  const auto rank_demand = own->second.by_rank.find(rank);
+  if (higher_tokens <= 0 || rank_demand == own->second.by_rank.end()) return 0;
+  const double mean_size = rank_demand->second.tokens.At(now) /
+                           std::max(1e-9, rank_demand->second.requests.At(now));
+  const double mean_higher_size =
+      higher_tokens / std::max(1e-9, higher_requests);
+  return std::min(1.0, mean_size / mean_higher_size) * higher_tokens /
+         std::max(1.0, own->second.requested.At(now));
 }
 
-void Demand::LetThrough(NameHash workspace, double tokens) {
-  own_[workspace].let_through += static_cast<std::uint64_t>(tokens);
-  own_[workspace].unheard += tokens;
+void Demand::RecordAdmitted(NameHash workspace, double tokens) {
+  by_workspace_[workspace].admitted += static_cast<std::uint64_t>(tokens);
+  by_workspace_[workspace].unreported += tokens;
 }
 
-void Demand::GivenBack(NameHash workspace, double tokens) {
-  own_[workspace].given_back += static_cast<std::uint64_t>(tokens);
+void Demand::RecordRefund(NameHash workspace, double tokens) {
+  by_workspace_[workspace].refunded += static_cast<std::uint64_t>(tokens);
 }
 
-std::vector<Spent> Demand::Heard(const FleetUpdate& others, absl::Time now) {
-  // Another aggregator counts from another start; and while this host was cut
-  // off, the others kept to their parts.
-  const bool same = others.sender.host == others_.sender.host &&
-                    now - heard_ <= LivenessTimeout(Period());
-  if (!same) counters_ = UseCounters();
-  std::vector<Spent> spent;
-  // What an aggregator tells that began since is new to this host, unless the
-  // host itself is.
-  const bool began_since = heard_ != absl::InfinitePast() &&
-                           now - heard_ >= absl::Milliseconds(others.age_ms);
+std::vector<PeerUse> Demand::OnPeerUpdate(const FleetUpdate& update,
+                                          absl::Time now) {
+  // Each aggregator counts from its own start. While this host was partitioned,
+  // its peers kept to their shares.
+  const bool same_source =
+      update.sender.host == last_update_.sender.host &&
+      now - last_update_at_ <= LivenessTimeout(UpdatePeriod());
+  if (!same_source) counters_ = UseCounters();
+  std::vector<PeerUse> uses;
+  // All counts of an aggregator that started after the last update are new to
+  // this host, unless the host itself has just started.
+  const bool aggregator_is_newer =
+      last_update_at_ != absl::InfinitePast() &&
+      now - last_update_at_ >= absl::Milliseconds(update.age_ms);
   const FirstMessage first =
-      began_since ? FirstMessage::kAll : FirstMessage::kNothing;
-  for (auto& [workspace, own] : own_) own.unheard = 0;
-  for (const UseGrowth& grown :
-       counters_.Take(others.incarnation, others.workspaces, first)) {
-    spent.push_back(
-        {grown.workspace, static_cast<double>(grown.let_through) -
-                              static_cast<double>(grown.given_back)});
+      aggregator_is_newer ? FirstMessage::kAll : FirstMessage::kIgnore;
+  for (auto& [workspace, own] : by_workspace_) own.unreported = 0;
+  for (const UseDelta& delta :
+       counters_.Update(update.incarnation, update.workspaces, first)) {
+    uses.push_back({delta.workspace, static_cast<double>(delta.admitted) -
+                                         static_cast<double>(delta.refunded)});
   }
-  others_ = others;
-  heard_ = now;
-  if (others.complete || others.hosts + 1 > hosts_) hosts_ = others.hosts + 1;
-  return spent;
+  last_update_ = update;
+  last_update_at_ = now;
+  if (update.complete || update.hosts + 1 > hosts_) hosts_ = update.hosts + 1;
+  return uses;
 }
 
-std::vector<WorkspaceUse> Demand::Tell(absl::Time now) {
+std::vector<WorkspaceUse> Demand::BuildUpdate(absl::Time now) {
   std::vector<WorkspaceUse> uses;
-  for (auto& [workspace, own] : own_) {
-    std::rotate(own.told.begin(), own.told.begin() + 1, own.told.end());
-    own.told.back() = own.PerSecond(now);
-    // Quiet hosts are many where hosts are, and their parts next to nothing.
-    const bool quiet = own.told.back() == 0 && own.let_through == 0;
-    if (quiet && agreed_.contains(workspace)) continue;
-    uses.push_back({workspace, static_cast<float>(own.told.back()),
-                    own.let_through, own.given_back,
-                    static_cast<float>(OwnPart(workspace)), /*parts=*/1,
-                    static_cast<float>(own.unheard)});
+  for (auto& [workspace, own] : by_workspace_) {
+    std::rotate(own.published.begin(), own.published.begin() + 1,
+                own.published.end());
+    own.published.back() = own.TokensPerSecond(now);
+    // Large fleets have many idle hosts, whose shares are close to zero.
+    const bool idle = own.published.back() == 0 && own.admitted == 0;
+    if (idle && shares_.contains(workspace)) continue;
+    uses.push_back({workspace, static_cast<float>(own.published.back()),
+                    own.admitted, own.refunded,
+                    static_cast<float>(LocalShare(workspace)), /*shares=*/1,
+                    static_cast<float>(own.unreported)});
   }
   return uses;
 }
 
-bool Demand::IsHeard(absl::Time now) const {
-  return IsCurrent(now - heard_, Period());
+bool Demand::IsLastUpdateCurrent(absl::Time now) const {
+  return IsCurrent(now - last_update_at_, UpdatePeriod());
 }
 
-bool Demand::AllHeard(absl::Time now) const {
-  return others_.complete && IsHeard(now);
+bool Demand::AllHostsReachable(absl::Time now) const {
+  return last_update_.complete && IsLastUpdateCurrent(now);
 }
 
-double Demand::PartOfDemand(NameHash workspace) const {
-  const auto mine = own_.find(workspace);
-  const double own = mine == own_.end() ? 0 : mine->second.told.front();
+double Demand::ShareOfDemand(NameHash workspace) const {
+  const auto local = by_workspace_.find(workspace);
+  const double own =
+      local == by_workspace_.end() ? 0 : local->second.published.front();
   double total = own;
-  if (const WorkspaceUse* use = OthersUse(workspace)) {
+  if (const WorkspaceUse* use = FindPeerUse(workspace)) {
     total += std::max(0.0F, use->tokens_per_second);
   }
-  const double floor = std::max(1.0, total) * kFloorPart / hosts_;
+  const double floor = std::max(1.0, total) * kAssumedDemandFraction / hosts_;
   return (own + floor) / (total + floor * hosts_);
 }
 
-void Demand::Agree(const std::vector<NameHash>& limited, absl::Time now) {
-  for (const NameHash workspace : limited) own_.try_emplace(workspace);
-  if (!AllHeard(now)) return;
-  for (const auto& [workspace, own] : own_) {
-    agreed_[workspace] = PartOfDemand(workspace);
+void Demand::UpdateShares(const std::vector<NameHash>& limited,
+                          absl::Time now) {
+  for (const NameHash workspace : limited) by_workspace_.try_emplace(workspace);
+  if (!AllHostsReachable(now)) return;
+  for (const auto& [workspace, own] : by_workspace_) {
+    shares_[workspace] = ShareOfDemand(workspace);
   }
 }
 
-const WorkspaceUse* Demand::OthersUse(NameHash workspace) const {
-  for (const WorkspaceUse& use : others_.workspaces) {
+const WorkspaceUse* Demand::FindPeerUse(NameHash workspace) const {
+  for (const WorkspaceUse& use : last_update_.workspaces) {
     if (use.workspace == workspace) return &use;
   }
   return nullptr;
 }
 
-double Demand::OwnPart(NameHash workspace) const {
-  const auto agreed = agreed_.find(workspace);
-  if (agreed != agreed_.end()) return agreed->second;
-  // Started anew: what the others leave, divided among those of whom nothing is
-  // known.
-  const WorkspaceUse* use = OthersUse(workspace);
-  const double left = use == nullptr ? 1.0 : 1.0 - use->share;
-  const int known = use == nullptr ? 0 : use->shares;
-  return std::max(0.0, left) / std::max(1, hosts_ - known);
+double Demand::LocalShare(NameHash workspace) const {
+  const auto agreed = shares_.find(workspace);
+  if (agreed != shares_.end()) return agreed->second;
+  // After a restart: the limit without the peers' shares, divided among the
+  // hosts whose shares are unknown.
+  const WorkspaceUse* use = FindPeerUse(workspace);
+  const double remaining = use == nullptr ? 1.0 : 1.0 - use->share;
+  const int known_shares = use == nullptr ? 0 : use->shares;
+  return std::max(0.0, remaining) / std::max(1, hosts_ - known_shares);
 }
 
-OthersDemand Demand::Others(NameHash workspace, absl::Time now) const {
-  OthersDemand others;
-  if (!IsHeard(now)) return others;
-  others.heard_after = kPeriodsUntilHeard * Period();
-  if (const WorkspaceUse* use = OthersUse(workspace)) {
-    others.tokens_per_second = std::max(0.0F, use->tokens_per_second);
+PeerDemand Demand::DemandOfPeers(NameHash workspace, absl::Time now) const {
+  PeerDemand peers;
+  if (!IsLastUpdateCurrent(now)) return peers;
+  peers.report_delay = kReportDelayPeriods * UpdatePeriod();
+  if (const WorkspaceUse* use = FindPeerUse(workspace)) {
+    peers.tokens_per_second = std::max(0.0F, use->tokens_per_second);
   }
-  return others;
+  return peers;
 }
 
-double Demand::Part(NameHash workspace, absl::Time now) const {
-  // Nothing is let through with no part at all.
-  constexpr double kLeast = 0.001;
-  if (AllHeard(now)) return 1;
-  double part = OwnPart(workspace);
-  if (const WorkspaceUse* use = OthersUse(workspace); use && IsHeard(now)) {
-    part += std::max(0.0F, use->share);
+double Demand::LimitShare(NameHash workspace, absl::Time now) const {
+  // With a share of 0 no request would ever be admitted.
+  constexpr double kMinShare = 0.001;
+  if (AllHostsReachable(now)) return 1;
+  double share = LocalShare(workspace);
+  if (const WorkspaceUse* use = FindPeerUse(workspace);
+      use && IsLastUpdateCurrent(now)) {
+    share += std::max(0.0F, use->share);
   }
-  return std::clamp(part, kLeast, 1.0);
+  return std::clamp(share, kMinShare, 1.0);
 }
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/fleet_test.cc
+++ b/src/gateway/fleet_test.cc
@@ -90,9 +90,9 @@
       own->workspaces = {{kWorkspace, 1, admitted[name]}};
     };
     host.on_peers = [&, name](const FleetUpdate& peers) {
-      for (const UseGrowth& growth :
-           counters[name].Take(peers.incarnation, peers.workspaces)) {
-        counted[name] += growth.let_through;
+      for (const UseDelta& growth :
+           counters[name].Update(peers.incarnation, peers.workspaces)) {
+        counted[name] += growth.admitted;
       }
     };
   }
--- /dev/null
+++ b/src/gateway/forwarder_attempt.cc
@@ -0,0 +1,289 @@
+// The part of the forwarder that handles one attempt at a server: it sends the
+// request, relays the response, and decides whether to retry.
+
+#include <glog/logging.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "absl/strings/str_cat.h"
+#include "gateway/forwarder.h"
+#include "gateway/forwarder_internal.h"
+
+namespace gentianlb::gateway {
+namespace {
+
+using schedule::RequestOutcome;
+
+// One server without free capacity is common. If a third has none either, all
+// are probably full, and each attempt costs the servers something.
+constexpr int kMaxSheds = 2;
+
+// With less time left no other server can respond: a round trip and its queue
+// take about that long.
+constexpr absl::Duration kMinTimeToRetry = absl::Milliseconds(20);
+
+// Progress is reported to the dispatcher once per this number of events. A few
+// samples suffice to estimate a server's speed, and each costs microseconds.
+constexpr int kEventsPerProgressReport = 16;
+
+}  // namespace
+
+void Forwarder::Send(Exchange& exchange, const ServerEntry& server) {
+  const absl::Time now = clock_();
+  ++exchange.attempts;
+  exchange.quota_tokens = 0;  // From now on they are not refunded.
+  exchange.attempt.server = server;
+  LOG(INFO) << "event=sent request=" << exchange.request->id
+            << " server=" << server.id
+            << " address=" << settings::Format(server.address)
+            << " zone=" << server.zone << " sending=" << exchange.attempts
+            << " waited_ms=" << Milliseconds(now - exchange.arrival)
+            << " left_ms=" << Milliseconds(exchange.deadline - now)
+            << " version=" << exchange.index->configuration().version;
+  ServerCall call;
+  call.request = exchange.request;
+  call.server = server;
+  if (exchange.workspace != nullptr) call.workspace = exchange.workspace->id;
+  call.time_left = exchange.deadline - now;
+  call.last_event = exchange.splitter.last_event();
+  const ExchangeId id = exchange.id;
+  const int attempt_number = exchange.attempts;
+  // Ignores callbacks of an earlier attempt.
+  auto current = [this, id, attempt_number]() -> Exchange* {
+    Exchange* found = Find(id);
+    return found != nullptr && found->attempts == attempt_number ? found
+                                                                 : nullptr;
+  };
+  CallSink sink;
+  sink.on_head = [this, current](ResponseHead head) {
+    Exchange* found = current();
+    return found == nullptr ? http::Reading::kStop
+                            : OnHead(*found, std::move(head));
+  };
+  sink.on_data = [this, current](std::string_view bytes) {
+    if (Exchange* found = current()) OnBytes(*found, bytes);
+  };
+  sink.on_end = [this, current](http::TransferEnd end, std::string detail) {
+    if (Exchange* found = current()) OnTransferEnd(*found, end, detail);
+  };
+  exchange.attempt.transfer = servers_.send(std::move(call), std::move(sink));
+  ++running_[server.id];
+}
+
+void Forwarder::FinishTransfer(Exchange& exchange) {
+  if (exchange.attempt.transfer == 0) return;
+  exchange.attempt.transfer = 0;
+  const auto found = running_.find(exchange.attempt.server->id);
+  if (found == running_.end()) return;
+  if (--found->second <= 0) running_.erase(found);
+}
+
+std::vector<ServerUse> Forwarder::ServerUses() const {
+  std::vector<ServerUse> uses;
+  if (index_ == nullptr) return uses;
+  for (const auto& [service, queue] : queues_) {
+    for (const ServerEntry& server : directory_->ServersOf(service)) {
+      ServerUse use;
+      use.server = HashName(server.id.str());
+      const auto running = running_.find(server.id);
+      if (running != running_.end()) {
+        use.running = static_cast<std::uint16_t>(running->second);
+      }
+      if (groups_ != nullptr) {
+        use.ungranted = static_cast<std::uint16_t>(
+            std::max(0, use.running - groups_->GrantedOn(server.id)));
+      }
+      if (const auto slowdown =
+              queue.dispatcher().MeasuredSlowdown(server.id)) {
+        use.prefill_slowdown = static_cast<float>(slowdown->prefill);
+        use.decode_slowdown = static_cast<float>(slowdown->decode);
+      }
+      if (use.running > 0 || use.decode_slowdown > 0) uses.push_back(use);
+    }
+  }
+  return uses;
+}
+
+void Forwarder::SetPeerUses(
+    const absl::flat_hash_map<NameHash, ServerUse>& uses) {
+  if (index_ == nullptr) return;
+  for (const Service& service : index_->configuration().services) {
+    for (const ServerEntry& server : directory_->ServersOf(service.id)) {
+      const auto found = uses.find(HashName(server.id.str()));
+      const ServerUse use = found == uses.end() ? ServerUse{} : found->second;
+      ServerUse& notified = notified_peer_uses_[server.id];
+      if (notified.running != use.running) {
+        NotifyDispatcher(service.id,
+                         schedule::PeerLoadReported{server.id, use.running});
+      }
+      const bool has_slowdown = use.decode_slowdown > 0 && service.engine;
+      if (has_slowdown && (notified.decode_slowdown != use.decode_slowdown ||
+                           notified.prefill_slowdown != use.prefill_slowdown)) {
+        NotifyDispatcher(service.id, schedule::PeerSlowdownReported{
+                                         server.id, use.prefill_slowdown,
+                                         use.decode_slowdown});
+      }
+      notified = use;
+    }
+  }
+}
+
+http::Reading Forwarder::OnHead(Exchange& exchange, ResponseHead head) {
+  if (!head.matches_request) {
+    LOG(WARNING) << "event=foreign-answer request=" << exchange.request->id
+                 << " server=" << exchange.attempt.server->id;
+    return http::Reading::kStop;
+  }
+  const std::optional<ServerLoad> load = head.load;
+  exchange.attempt.has_head = true;
+  exchange.attempt.head = std::move(head);
+  if (!load) return http::Reading::kGoOn;
+  // Applying the decisions that follow may finish this request too.
+  const ExchangeId id = exchange.id;
+  NotifyDispatcher(exchange.service->id, schedule::ResponseLoadReported{
+                                             exchange.attempt.server->id,
+                                             load->running, load->waiting});
+  return Find(id) == nullptr ? http::Reading::kStop : http::Reading::kGoOn;
+}
+
+void Forwarder::OnBytes(Exchange& exchange, std::string_view bytes) {
+  const ResponseHead& head = exchange.attempt.head;
+  const bool relayed = exchange.is_stream() && IsSuccess(head.status);
+  if (!relayed) {
+    exchange.body.append(bytes);
+    return;
+  }
+  const std::string events = exchange.splitter.Feed(bytes);
+  if (events.empty()) return;
+  BeginStream(exchange);
+  exchange.responder->Write(events);
+  ReportProgress(exchange);
+}
+
+void Forwarder::BeginStream(Exchange& exchange) {
+  if (exchange.responding) return;
+  exchange.responding = true;
+  exchange.first_event = clock_();
+  metrics_->ObserveFirstToken(exchange.tier,
+                              exchange.first_event - exchange.arrival);
+  exchange.responder->Begin(exchange.attempt.head.status,
+                            ResponseHeaders(exchange.attempt.head));
+}
+
+void Forwarder::ReportProgress(Exchange& exchange) {
+  if (!exchange.service->engine) return;
+  const int events = exchange.splitter.event_count();
+  const bool first = !exchange.attempt.first_event_reported;
+  if (!first && events % kEventsPerProgressReport != 0) return;
+  exchange.attempt.first_event_reported = true;
+  const int tokens = events * exchange.service->engine->tokens_per_event;
+  NotifyDispatcher(
+      exchange.service->id,
+      schedule::TokensStreamed{exchange.attempt.dispatch_id, tokens});
+}
+
+void Forwarder::OnTransferEnd(Exchange& exchange, http::TransferEnd end,
+                              const std::string& detail) {
+  Attempt& attempt = exchange.attempt;
+  FinishTransfer(exchange);
+  if (end == http::TransferEnd::kNotSent) {
+    LOG(WARNING) << "event=not-sent request=" << exchange.request->id
+                 << " server=" << attempt.server->id << " cause=\"" << detail
+                 << "\"";
+    --exchange.attempts;
+    return NotifyDispatcher(
+        exchange.service->id,
+        schedule::RequestFinished{attempt.dispatch_id, RequestOutcome::kNotSent,
+                                  0, 0});
+  }
+  if (attempt.has_head && attempt.head.not_run) return OnShed(exchange);
+  if (end != http::TransferEnd::kComplete) return OnFailure(exchange, detail);
+  const bool failed = IsServerFailure(attempt.head.status);
+  if (failed && exchange.safe_to_retry()) {
+    return OnFailure(exchange, absl::StrCat("status ", attempt.head.status));
+  }
+  OnResponseComplete(exchange);
+}
+
+void Forwarder::FinishAttempt(Exchange& exchange, RequestOutcome kind) {
+  const RequestId dispatch_id = exchange.attempt.dispatch_id;
+  if (dispatch_id.empty()) return;
+  exchange.attempt.dispatch_id = RequestId();
+  exchange_by_dispatch_id_.erase(dispatch_id);
+  int tokens = 0;
+  if (exchange.service->engine) {
+    tokens = exchange.splitter.event_count() *
+             exchange.service->engine->tokens_per_event;
+  }
+  NotifyDispatcher(exchange.service->id,
+                   schedule::RequestFinished{dispatch_id, kind, tokens, 0});
+}
+
+void Forwarder::OnResponseComplete(Exchange& exchange) {
+  // A server that fails fast must not look like a fast server.
+  const bool failed = IsServerFailure(exchange.attempt.head.status);
+  FinishAttempt(exchange,
+                failed ? RequestOutcome::kFailed : RequestOutcome::kComplete);
+  FinishResponse(exchange);
+}
+
+// The server did not run the request.
+void Forwarder::OnShed(Exchange& exchange) {
+  const ServerId server = exchange.attempt.server->id;
+  const bool wrong = exchange.attempt.head.wrong_server;
+  LOG(INFO) << "event=shed request=" << exchange.request->id
+            << " server=" << server
+            << " status=" << exchange.attempt.head.status
+            << " wrong_server=" << wrong;
+  ++exchange.shed_attempts;
+  const ExchangeId id = exchange.id;
+  FinishAttempt(exchange, RequestOutcome::kShed);
+  if (wrong && on_wrong_server_) on_wrong_server_(server);
+  if (Find(id) == nullptr) return;
+  if (exchange.shed_attempts <= kMaxSheds && Retry(exchange, "not run")) return;
+  Refuse(exchange, {Code::kQueueFull, "the servers have no room"},
+         kShortRetryAfter);
+}
+
+// The server may have run the request.
+void Forwarder::OnFailure(Exchange& exchange, const std::string& detail) {
+  LOG(WARNING) << "event=sending-failed request=" << exchange.request->id
+               << " server=" << exchange.attempt.server->id << " cause=\""
+               << detail << "\" events=" << exchange.splitter.event_count()
+               << " head=" << exchange.attempt.has_head;
+  exchange.may_have_run = true;
+  const ResponseHead head = exchange.attempt.head;
+  const bool complete_failure =
+      exchange.attempt.has_head && IsServerFailure(head.status);
+  std::string body = std::move(exchange.body);
+  FinishAttempt(exchange, RequestOutcome::kFailed);
+  const int executions = exchange.attempts - exchange.shed_attempts;
+  if (exchange.safe_to_retry() && executions < exchange.route->max_attempts &&
+      Retry(exchange, "may have run")) {
+    return;
+  }
+  if (complete_failure && !exchange.responding) {
+    exchange.attempt.head = head;
+    exchange.body = std::move(body);
+    return FinishResponse(exchange);
+  }
+  FailRequest(exchange, {Code::kServerBroke, detail});
+}
+
+bool Forwarder::Retry(Exchange& exchange, std::string_view reason) {
+  if (exchange.deadline - clock_() < kMinTimeToRetry) return false;
+  if (!QueueOf(exchange.service->id).retries().Take()) {
+    LOG(INFO) << "event=no-retry-budget request=" << exchange.request->id;
+    return false;
+  }
+  const ServerId avoid = exchange.attempt.server->id;
+  LOG(INFO) << "event=resend request=" << exchange.request->id
+            << " after=" << avoid << " why=\"" << reason
+            << "\" last_event=" << exchange.splitter.last_event();
+  if (exchange.responding) metrics_->CountResumed();
+  Enqueue(exchange, avoid);
+  return true;
+}
+
+}  // namespace gentianlb::gateway
--- /dev/null
+++ b/src/gateway/forwarder_internal.h
@@ -0,0 +1,26 @@
+// Helpers shared by the forwarder's source files.
+
+#ifndef GENTIANLB_GATEWAY_FORWARDER_INTERNAL_H_
+#define GENTIANLB_GATEWAY_FORWARDER_INTERNAL_H_
+
+#include <cstdint>
+
+#include "absl/time/time.h"
+
+namespace gentianlb::gateway {
+
+// Retry-After of a host that has no configuration or is about to stop: another
+// host, or this one, may be ready a moment later.
+inline constexpr absl::Duration kShortRetryAfter = absl::Milliseconds(500);
+
+inline bool IsSuccess(int status) { return status >= 200 && status < 300; }
+inline bool IsServerFailure(int status) { return status >= 500; }
+
+// Returns whole milliseconds for log lines.
+inline std::int64_t Milliseconds(absl::Duration duration) {
+  return absl::ToInt64Milliseconds(duration);
+}
+
+}  // namespace gentianlb::gateway
+
+#endif  // GENTIANLB_GATEWAY_FORWARDER_INTERNAL_H_
--- a/src/gateway/group_dispatchers.cc
+++ b/src/gateway/group_dispatchers.cc
@@ -220,7 +220,7 @@
       hooks_.answer(grant->host,
                     schedule::Grant{UnqualifiedId(grant->host, grant->id),
                                     grant->host, grant->server});
-      hooks_.send_capacity(grant->host, {group, state->queue.Room()});
+      hooks_.send_capacity(grant->host, {group, state->queue.FreeCapacity()});
     } else if (const auto* refusal = std::get_if<schedule::Refuse>(&decision)) {
       // A request whose caller has disconnected needs no answer.
       if (!state->waiting.erase(refusal->id)) continue;
@@ -228,7 +228,7 @@
       schedule::Refuse answer = *refusal;
       answer.id = UnqualifiedId(refusal->host, refusal->id);
       hooks_.answer(refusal->host, std::move(answer));
-      hooks_.send_capacity(refusal->host, {group, state->queue.Room()});
+      hooks_.send_capacity(refusal->host, {group, state->queue.FreeCapacity()});
     }
     // Other decisions need no message: hosts finish requests past their
     // deadline themselves.
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -8,24 +8,24 @@
 namespace gentianlb::gateway {
 namespace {
 
-// Lines that a killed process takes with it are those of the last moments.
-constexpr absl::Duration kLogFlush = absl::Milliseconds(200);
+// A killed process loses the log lines of one interval.
+constexpr absl::Duration kLogFlushInterval = absl::Milliseconds(200);
 
-// While draining: how long a connection may be idle, and how often the host
-// looks whether it is done.
-constexpr absl::Duration kIdleWhileDraining = absl::Seconds(1);
-constexpr absl::Duration kDrainLook = absl::Milliseconds(50);
+// While draining: the connections' idle timeout, and the interval of checks
+// whether the host has drained.
+constexpr absl::Duration kDrainIdleTimeout = absl::Seconds(1);
+constexpr absl::Duration kDrainCheckInterval = absl::Milliseconds(50);
 
-// What callers may send, at the most; today's operators allow just this.
-constexpr std::size_t kMostHeaderBytes = 16 << 10;
-constexpr std::size_t kMostBodyBytes = 4 << 20;
+// Limits of a caller's request, as configured by current operators.
+constexpr std::size_t kMaxHeaderBytes = 16 << 10;
+constexpr std::size_t kMaxBodyBytes = 4 << 20;
 
-// Callers' connections beyond this are not taken; each costs some kilobytes.
-constexpr unsigned kMostCallers = 1500;
+// Further callers' connections are not accepted; each takes some kilobytes.
+constexpr unsigned kMaxCallerConnections = 1500;
 
-// A part below the bound, since retries and the requests that earn them are
-// not counted at the same moment by those who check.
-constexpr double kRetryMargin = 0.75;
+// Fraction of the retry limit that is used, since a check of the limit may
+// count retries and the requests that earn them at different moments.
+constexpr double kRetryShare = 0.75;
 
 std::uint64_t SeedOf(const settings::GatewaySettings& settings) {
   return absl::HashOf(settings.id);
@@ -40,7 +40,7 @@
   options.queue.dispatcher.allow_preemption = false;
   options.queue.dispatcher.min_retry_after = absl::Milliseconds(300);
   options.queue.retries.retries_per_call =
-      kRetryMargin * settings.retries_per_request;
+      kRetryShare * settings.retries_per_request;
   options.retry_burst = settings.retry_burst;
   return options;
 }
@@ -61,11 +61,11 @@
           [loop] { return loop->now(); },
           {.notify_local_dispatcher =
                [this](const ServiceId& service, const schedule::Event& event) {
-                 forwarder_.TellOwn(service, event);
+                 forwarder_.NotifyLocalDispatcher(service, event);
                },
            .decide =
                [this](const schedule::Decision& decision) {
-                 forwarder_.Decide(decision);
+                 forwarder_.ApplyDecision(decision);
                },
            .send =
                [this](const EntryHostId& host, std::string_view bytes) {
@@ -75,32 +75,33 @@
                [loop](std::function<void()> closure) {
                  loop->Defer(std::move(closure));
                }}),
-      early_(
+      startup_queue_(
           &loop->timers(), [loop] { return loop->now(); },
           [this](CallerRequest request,
                  std::shared_ptr<http::Responder> responder) {
             forwarder_.Accept(std::move(request), std::move(responder));
           }),
-      configuration_(
+      configuration_subscription_(
           {.table = platform_.configuration_table}, platform_.table,
           &loop->timers(), [loop] { return loop->now(); }, SeedOf(settings),
           [this](const auto& rows, bool, absl::Time) {
-            TakeConfiguration(rows);
+            OnConfigurationRows(rows);
           },
           [](bool, absl::Time) {}),
-      servers_(
+      server_subscription_(
           {.table = platform_.server_table}, platform_.table, &loop->timers(),
           [loop] { return loop->now(); }, SeedOf(settings) + 1,
-          [this](const auto& rows, bool whole, absl::Time now) {
-            TakeServers(rows, whole, now);
+          [this](const auto& rows, bool full_list, absl::Time now) {
+            OnServerRows(rows, full_list, now);
           },
           [this](bool up, absl::Time now) {
             if (!up) return;
-            service_return_.Noticed(now);
-            directory_.ServiceReturned(now);
+            table_recovery_.OnRecovered(now);
+            directory_.OnTableRecovered(now);
           }),
       sharing_(
-          settings.id.str(), {&configuration_, &servers_},
+          settings.id.str(),
+          {&configuration_subscription_, &server_subscription_},
           {.propagate =
                [this](const TableChanges& changes) {
                  SendChanges(peers_->fleet().LiveZonePeers(), changes);
@@ -115,7 +116,7 @@
 
 Host::~Host() {
   for (const TimerId timer : timers_) loop_->timers().Cancel(timer);
-  loop_->timers().Cancel(expiry_);
+  loop_->timers().Cancel(expiry_timer_);
 }
 
 Outcome<std::unique_ptr<Host>> Host::Start(
@@ -126,17 +127,18 @@
   if (auto error = host->Listen()) return *error;
   if (auto error = host->StartPeers()) return *error;
   host->forwarder_.OnWrongServer([self = host.get()](const ServerId& server) {
-    // Whatever its registration says, another server answers there.
-    if (self->directory_.Change(server.str(), std::nullopt,
+    // Another server responds at this address, whatever the registration says.
+    if (self->directory_.Update(server.str(), std::nullopt,
                                 self->loop_->now())) {
-      self->ServersChanged();
+      self->OnServersChanged();
     }
   });
-  host->timers_.push_back(loop->timers().Every(
-      loop->now() + kLogFlush, kLogFlush, [log](absl::Time) { log->Flush(); }));
-  host->forwarder_.UseGroups(&host->groups_);
-  host->configuration_.Start();
-  host->servers_.Start();
+  host->timers_.push_back(
+      loop->timers().Every(loop->now() + kLogFlushInterval, kLogFlushInterval,
+                           [log](absl::Time) { log->Flush(); }));
+  host->forwarder_.SetGroupLink(&host->groups_);
+  host->configuration_subscription_.Start();
+  host->server_subscription_.Start();
   LOG(INFO) << "event=started zone=" << settings.zone
             << " callers=" << settings::Format(settings.callers)
             << " table=" << settings::Format(settings.table);
@@ -148,61 +150,62 @@
       [this](const settings::Endpoint& endpoint, unsigned connections,
              http::Server::Handler handler,
              std::unique_ptr<http::Server>* server) -> std::optional<Error> {
-    http::ServerSettings chosen;
-    chosen.address = endpoint.ip;
-    chosen.port = static_cast<std::uint16_t>(endpoint.port);
-    chosen.limits.max_connections = connections;
-    chosen.limits.max_header_bytes = kMostHeaderBytes;
-    chosen.limits.max_body_bytes = kMostBodyBytes;
-    chosen.loop = loop_;
-    auto started = http::Server::Start(chosen, std::move(handler));
+    http::ServerSettings server_settings;
+    server_settings.address = endpoint.ip;
+    server_settings.port = static_cast<std::uint16_t>(endpoint.port);
+    server_settings.limits.max_connections = connections;
+    server_settings.limits.max_header_bytes = kMaxHeaderBytes;
+    server_settings.limits.max_body_bytes = kMaxBodyBytes;
+    server_settings.loop = loop_;
+    auto started = http::Server::Start(server_settings, std::move(handler));
     if (!started.ok()) return started.error();
     *server = std::move(started.value());
     return std::nullopt;
   };
-  constexpr unsigned kFewConnections = 32;
+  constexpr unsigned kMaxAdminConnections = 32;
   if (auto error = listen(
-          settings_.callers, kMostCallers,
+          settings_.callers, kMaxCallerConnections,
           [this](http::Request request, auto responder) {
-            TakeRequest(std::move(request), std::move(responder));
+            HandleRequest(std::move(request), std::move(responder));
           },
-          &callers_)) {
+          &caller_server_)) {
     return error;
   }
   if (auto error = listen(
-          settings_.ready, kFewConnections,
+          settings_.ready, kMaxAdminConnections,
           [this](const http::Request& request, auto responder) {
-            TakeQuestion(request, *responder);
+            HandleReadinessCheck(request, *responder);
           },
-          &ready_)) {
+          &readiness_server_)) {
     return error;
   }
   return listen(
-      settings_.metrics, kFewConnections,
+      settings_.metrics, kMaxAdminConnections,
       [this](const http::Request&, auto responder) {
         responder->Respond(200, {{"Content-Type", "text/plain"}},
-                           MetricsText());
+                           BuildMetricsText());
       },
       &metrics_server_);
 }
 
-void Host::TakeRequest(http::Request request,
-                       std::shared_ptr<http::Responder> responder) {
-  auto read = platform_.read_request(std::move(request));
-  if (!read.ok()) {
-    LOG(INFO) << "event=malformed code=" << static_cast<int>(read.error().code)
-              << " cause=\"" << read.error().detail << "\"";
-    metrics_.CountMalformed(read.error().code);
-    return http::RespondProblem(*responder, read.error());
+void Host::HandleRequest(http::Request request,
+                         std::shared_ptr<http::Responder> responder) {
+  auto parsed = platform_.read_request(std::move(request));
+  if (!parsed.ok()) {
+    LOG(INFO) << "event=malformed code="
+              << static_cast<int>(parsed.error().code) << " cause=\""
+              << parsed.error().detail << "\"";
+    metrics_.CountMalformed(parsed.error().code);
+    return http::RespondProblem(*responder, parsed.error());
   }
-  if (!informed()) {
-    return early_.Hold(std::move(read.value()), std::move(responder));
+  if (!initialized()) {
+    return startup_queue_.Hold(std::move(parsed.value()), std::move(responder));
   }
-  forwarder_.Accept(std::move(read.value()), std::move(responder));
+  forwarder_.Accept(std::move(parsed.value()), std::move(responder));
 }
 
-void Host::TakeQuestion(const http::Request& request,
-                        http::Responder& responder) const {
+void Host::HandleReadinessCheck(const http::Request& request,
+                                http::Responder& responder) const {
   if (request.path != settings_.ready_path) {
     return http::RespondProblem(responder,
                                 {Code::kUnknownPath, settings_.ready_path});
@@ -210,88 +213,92 @@
   responder.Respond(ready() ? 200 : 503, {}, "");
 }
 
-bool Host::informed() const {
-  return forwarder_.configured() && servers_.complete();
+bool Host::initialized() const {
+  return forwarder_.configured() && server_subscription_.complete();
 }
 
-bool Host::ready() const { return informed() && !draining_; }
+bool Host::ready() const { return initialized() && !draining_; }
 
-std::string Host::MetricsText() {
-  metrics_.Set("gentianlb_configuration_version", "In force", {},
+std::string Host::BuildMetricsText() {
+  metrics_.Set("gentianlb_configuration_version",
+               "Version of the configuration in force", {},
                static_cast<double>(forwarder_.version()));
-  metrics_.Set("gentianlb_open_requests", "Being served", {},
+  metrics_.Set("gentianlb_open_requests", "Requests in progress", {},
                static_cast<double>(forwarder_.open_requests()));
-  metrics_.Set("gentianlb_callers", "Open connections", {},
-               static_cast<double>(callers_->open_connections()));
+  metrics_.Set("gentianlb_callers", "Open connections of callers", {},
+               static_cast<double>(caller_server_->open_connections()));
   metrics_.Set("gentianlb_servers", "Registered backend servers", {},
                static_cast<double>(directory_.size()));
-  metrics_.Set("gentianlb_ready", "1 when callers may come", {},
+  metrics_.Set("gentianlb_ready", "1 when the host is ready for callers", {},
                ready() ? 1 : 0);
-  for (const TableSubscriber* follower : {&configuration_, &servers_}) {
-    const prometheus::Labels table = {{"table", follower->table()}};
+  for (const TableSubscriber* subscriber :
+       {&configuration_subscription_, &server_subscription_}) {
+    const prometheus::Labels table = {{"table", subscriber->table()}};
     metrics_.Set("gentianlb_table_up", "1 while the table service answers",
-                 table, follower->up() ? 1 : 0);
+                 table, subscriber->up() ? 1 : 0);
     metrics_.Set("gentianlb_table_follows",
-                 "1 while this host asks the service itself", table,
-                 follower->subscribed() ? 1 : 0);
+                 "1 while this host polls the table service itself", table,
+                 subscriber->subscribed() ? 1 : 0);
     metrics_.Set("gentianlb_table_behind_seconds",
-                 "Since a change is known of that isn't here", table,
-                 absl::ToDoubleSeconds(follower->Lag()));
+                 "Time since a change became known that this host lacks", table,
+                 absl::ToDoubleSeconds(subscriber->Lag()));
   }
-  metrics_.Set("gentianlb_log_lines_left_out", "For the log's bound", {},
+  metrics_.Set("gentianlb_log_lines_left_out",
+               "Log lines dropped at the log's size limit", {},
                static_cast<double>(log_->left_out()));
   return metrics_.Text();
 }
 
-void Host::TakeConfiguration(const std::vector<TableRow>& rows) {
+void Host::OnConfigurationRows(const std::vector<TableRow>& rows) {
   for (const TableRow& row : rows) {
     if (row.key != platform_.configuration_key || row.removed) continue;
-    auto read = platform_.read_configuration(row.value);
-    if (!read.ok()) {
+    auto parsed = platform_.read_configuration(row.value);
+    if (!parsed.ok()) {
       LOG(ERROR) << "event=configuration-unreadable code="
-                 << static_cast<int>(read.error().code) << " cause=\""
-                 << read.error().detail << "\"";
+                 << static_cast<int>(parsed.error().code) << " cause=\""
+                 << parsed.error().detail << "\"";
       continue;
     }
-    callers_->SetIdleTimeout(read.value().limits.idle_timeout);
-    forwarder_.SetConfiguration(std::move(read.value()));
+    caller_server_->SetIdleTimeout(parsed.value().limits.idle_timeout);
+    forwarder_.SetConfiguration(std::move(parsed.value()));
   }
-  if (informed()) early_.Release();
+  if (initialized()) startup_queue_.Release();
 }
 
-void Host::TakeServers(const std::vector<TableRow>& rows, bool whole,
-                       absl::Time now) {
-  std::vector<std::pair<std::string, ServerEntry>> named;
+void Host::OnServerRows(const std::vector<TableRow>& rows, bool full_list,
+                        absl::Time now) {
+  std::vector<std::pair<std::string, ServerEntry>> listed;
   bool changed = false;
   for (const TableRow& row : rows) {
     std::optional<ServerEntry> entry;
     if (!row.removed) {
-      auto read = platform_.read_server(row.key, row.value);
-      if (read.ok()) entry = std::move(read.value());
-      if (!read.ok()) {
+      auto parsed = platform_.read_server(row.key, row.value);
+      if (parsed.ok()) entry = std::move(parsed.value());
+      if (!parsed.ok()) {
         LOG(WARNING) << "event=server-unreadable cause=\""
-                     << read.error().detail << "\"";
+                     << parsed.error().detail << "\"";
       }
     }
     LOG(INFO) << "event=server-registration server=" << row.key
               << " usable=" << entry.has_value()
               << " draining=" << (entry && entry->draining)
               << " started=" << (entry ? entry->started : 0);
-    if (whole && entry) named.emplace_back(row.key, *entry);
-    if (!whole) changed |= directory_.Change(row.key, entry, now);
+    if (full_list && entry) listed.emplace_back(row.key, *entry);
+    if (!full_list) changed |= directory_.Update(row.key, entry, now);
   }
-  if (whole) changed = directory_.Replace(named, now);
-  if (changed || whole) ServersChanged();
-  loop_->timers().Cancel(expiry_);
+  if (full_list) changed = directory_.Replace(listed, now);
+  if (changed || full_list) OnServersChanged();
+  loop_->timers().Cancel(expiry_timer_);
   if (directory_.NextExpiry() == absl::InfiniteFuture()) return;
-  expiry_ = loop_->timers().At(directory_.NextExpiry(), [this](absl::Time at) {
-    if (directory_.Expire(at)) ServersChanged();
-  });
+  expiry_timer_ =
+      loop_->timers().At(directory_.NextExpiry(), [this](absl::Time at) {
+        if (directory_.Expire(at)) OnServersChanged();
+      });
 }
 
-void Host::ServersChanged() {
-  forwarder_.ServersChanged();
-  if (informed()) early_.Release();
+void Host::OnServersChanged() {
+  forwarder_.OnServersChanged();
+  if (initialized()) startup_queue_.Release();
 }
 
 void Host::Drain() {
@@ -304,22 +311,22 @@
   groups_.Drain();
   TimerService& timers = loop_->timers();
   timers_.push_back(timers.At(drain_.close_idle_from, [this](absl::Time) {
-    callers_->SetIdleTimeout(kIdleWhileDraining);
+    caller_server_->SetIdleTimeout(kDrainIdleTimeout);
   }));
-  timers_.push_back(timers.At(drain_.no_requests_from, [this](absl::Time) {
-    callers_->StopAccepting();
+  timers_.push_back(timers.At(drain_.refuse_requests_from, [this](absl::Time) {
+    caller_server_->StopAccepting();
   }));
-  timers_.push_back(
-      timers.Every(drain_.no_streams_from, kDrainLook,
-                   [this](absl::Time at) { LookWhetherDrained(at); }));
+  timers_.push_back(timers.Every(drain_.refuse_streams_from,
+                                 kDrainCheckInterval,
+                                 [this](absl::Time at) { CheckDrained(at); }));
 }
 
-void Host::LookWhetherDrained(absl::Time now) {
-  const bool done =
-      forwarder_.open_requests() == 0 && callers_->open_connections() == 0;
+void Host::CheckDrained(absl::Time now) {
+  const bool done = forwarder_.open_requests() == 0 &&
+                    caller_server_->open_connections() == 0;
   if (!done && now < drain_.end) return;
   LOG(INFO) << "event=stopped open=" << forwarder_.open_requests()
-            << " connections=" << callers_->open_connections();
+            << " connections=" << caller_server_->open_connections();
   loop_->Stop();
 }
 
--- a/src/gateway/host.h
+++ b/src/gateway/host.h
@@ -1,6 +1,6 @@
-// An entry host as a gateway on a platform: takes callers' connections, keeps
-// up with the configuration and the servers, says whether it is ready, and
-// drains. Everything runs on one event loop.
+// An entry host as a gateway on a platform: accepts callers' connections,
+// follows changes of configuration and servers, reports readiness, and drains.
+// Runs on one event loop.
 
 #ifndef GENTIANLB_GATEWAY_HOST_H_
 #define GENTIANLB_GATEWAY_HOST_H_
@@ -13,12 +13,12 @@
 
 #include "gateway/demand.h"
 #include "gateway/directory.h"
-#include "gateway/early_requests.h"
 #include "gateway/forwarder.h"
 #include "gateway/group_link.h"
 #include "gateway/messages.h"
 #include "gateway/peers.h"
-#include "gateway/service_return.h"
+#include "gateway/startup_queue.h"
+#include "gateway/table_recovery.h"
 #include "gateway/table_sharing.h"
 #include "gateway/table_subscriber.h"
 #include "http/server.h"
@@ -29,16 +29,16 @@
 
 namespace gentianlb::gateway {
 
-// What an adapter to a platform provides.
+// The functions and names that a platform's adapter provides.
 struct Platform {
   std::function<Outcome<CallerRequest>(http::Request)> read_request;
   ServerPort servers;
   TablePort table;
-  // Where the operator's configuration and the servers' registrations stand.
+  // The rows of the operators' configuration and of the servers' registrations.
   std::string configuration_table;
   std::string configuration_key;
   std::string server_table;
-  std::string host_table;  // Of this system's own.
+  std::string host_table;  // The entry hosts' own.
   std::function<Outcome<Configuration>(std::string_view row)>
       read_configuration;
   std::function<Outcome<ServerEntry>(const std::string& key,
@@ -48,7 +48,7 @@
 
 class Host {
  public:
-  // `loop` and `log` outlive the host.
+  // `loop` and `log` must outlive the host.
   static Outcome<std::unique_ptr<Host>> Start(
       const settings::GatewaySettings& settings, Platform platform,
       loop::EventLoop* loop, log::BoundedLog* log);
@@ -56,14 +56,15 @@
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
 
-  // Takes no more callers, finishes what is in progress, and stops the loop.
+  // Begins the shutdown: refuses requests as planned by PlanDrain(), finishes
+  // those in progress, and stops the loop.
   void Drain();
 
   bool ready() const;
-  // Whether there is a configuration, and a list of servers.
-  bool informed() const;
-  std::uint16_t callers_port() const { return callers_->port(); }
-  std::uint16_t ready_port() const { return ready_->port(); }
+  // Returns whether the configuration and the list of servers have arrived.
+  bool initialized() const;
+  std::uint16_t callers_port() const { return caller_server_->port(); }
+  std::uint16_t ready_port() const { return readiness_server_->port(); }
 
  private:
   Host(const settings::GatewaySettings& settings, Platform platform,
@@ -74,22 +75,22 @@
   void ComposeUpdate(FleetUpdate* update);
   void OnPeersUpdate(const FleetUpdate& peers);
   void OnPeerMessage(std::string_view bytes);
-  // Lets what was heard, or wasn't, come into force.
+  // Applies the current state of the peers to limits and table sharing.
   void ApplyPeerState(absl::Time now);
   void SendChanges(const std::vector<std::string>& hosts,
                    const TableChanges& changes);
   void QueryPeers(const TableQuery& query, int tries);
-  void TakeRequest(http::Request request,
-                   std::shared_ptr<http::Responder> responder);
-  void TakeQuestion(const http::Request& request,
-                    http::Responder& responder) const;
-  std::string MetricsText();
+  void HandleRequest(http::Request request,
+                     std::shared_ptr<http::Responder> responder);
+  void HandleReadinessCheck(const http::Request& request,
+                            http::Responder& responder) const;
+  std::string BuildMetricsText();
 
-  void TakeConfiguration(const std::vector<TableRow>& rows);
-  void TakeServers(const std::vector<TableRow>& rows, bool whole,
-                   absl::Time now);
-  void ServersChanged();
-  void LookWhetherDrained(absl::Time now);
+  void OnConfigurationRows(const std::vector<TableRow>& rows);
+  void OnServerRows(const std::vector<TableRow>& rows, bool full_list,
+                    absl::Time now);
+  void OnServersChanged();
+  void CheckDrained(absl::Time now);
 
   const settings::GatewaySettings settings_;
   const Platform platform_;
@@ -101,19 +102,19 @@
   Demand demand_;
   Forwarder forwarder_;
   GroupLink groups_;
-  EarlyRequests early_;
-  TableSubscriber configuration_;
-  TableSubscriber servers_;
+  StartupQueue startup_queue_;
+  TableSubscriber configuration_subscription_;
+  TableSubscriber server_subscription_;
   TableSharing sharing_;
-  ServiceReturn service_return_;
+  TableRecovery table_recovery_;
   std::unique_ptr<Peers> peers_;
-  std::unique_ptr<http::Server> callers_;
-  std::unique_ptr<http::Server> ready_;
+  std::unique_ptr<http::Server> caller_server_;
+  std::unique_ptr<http::Server> readiness_server_;
   std::unique_ptr<http::Server> metrics_server_;
   int reported_hosts_ = 1;  // To the forwarder.
   absl::Time reported_hosts_at_ = absl::InfinitePast();
   std::vector<TimerId> timers_;
-  TimerId expiry_ = 0;
+  TimerId expiry_timer_ = 0;
   bool draining_ = false;
   DrainPlan drain_;
 };
--- a/src/gateway/host_fleet.cc
+++ b/src/gateway/host_fleet.cc
@@ -32,7 +32,7 @@
     sharing_.OnZoneUpdate(zone, loop_->now());
   };
   hooks.on_message = [this](std::string_view bytes) { OnPeerMessage(bytes); };
-  hooks.on_host_count = [this](int hosts) { demand_.Know(hosts); };
+  hooks.on_host_count = [this](int hosts) { demand_.RaiseHostCount(hosts); };
   hooks.on_tick = [this](absl::Time now) { ApplyPeerState(now); };
   auto started =
       Peers::Start(options, platform_.table, loop_, std::move(hooks));
@@ -43,32 +43,32 @@
 
 void Host::ComposeUpdate(FleetUpdate* update) {
   update->draining = draining_;
-  update->servers = forwarder_.Uses();
-  update->workspaces = demand_.Tell(loop_->now());
+  update->servers = forwarder_.ServerUses();
+  update->workspaces = demand_.BuildUpdate(loop_->now());
   update->tables = sharing_.TableStates();
   // Only an aggregator reports a recovery: another host may have been cut off
   // alone.
   if (!peers_->fleet().is_aggregator()) return;
   for (TableState& table : update->tables) {
-    table.recovery_age_ms = service_return_.ToTell(loop_->now());
+    table.recovery_age_ms = table_recovery_.AgeToPublish(loop_->now());
   }
 }
 
 void Host::OnPeersUpdate(const FleetUpdate& peers) {
   const absl::Time now = loop_->now();
-  for (const Spent& spent : demand_.Heard(peers, now)) {
-    forwarder_.quotas().Spend(spent.workspace, spent.tokens, now);
+  for (const PeerUse& spent : demand_.OnPeerUpdate(peers, now)) {
+    forwarder_.quotas().Charge(spent.workspace, spent.tokens, now);
   }
   for (const TableState& table : peers.tables) {
-    service_return_.Heard(table.recovery_age_ms, now);
-    directory_.ServiceReturned(service_return_.latest());
+    table_recovery_.OnPeerReport(table.recovery_age_ms, now);
+    directory_.OnTableRecovered(table_recovery_.latest());
   }
   sharing_.OnPeersUpdate(peers, now);
   if (peers.detailed) {
     groups_.SetDispatchers(peers.dispatchers);
     absl::flat_hash_map<NameHash, ServerUse> uses;
     for (const ServerUse& use : peers.servers) uses[use.server] = use;
-    forwarder_.UsedElsewhere(uses);
+    forwarder_.SetPeerUses(uses);
     groups_.SetPeerUses(uses);
   }
   ApplyPeerState(now);
@@ -118,17 +118,17 @@
 void Host::ApplyPeerState(absl::Time now) {
   sharing_.UpdateModes({peers_->fleet().is_aggregator(), demand_.hosts()}, now);
   Quotas& quotas = forwarder_.quotas();
-  const std::vector<NameHash> limited = quotas.Limited();
-  demand_.Agree(limited, now);
+  const std::vector<NameHash> limited = quotas.LimitedWorkspaces();
+  demand_.UpdateShares(limited, now);
   for (const NameHash workspace : limited) {
-    quotas.SetPart(workspace, demand_.Part(workspace, now), now);
-    quotas.SetOthers(workspace, demand_.Others(workspace, now), now);
+    quotas.SetShare(workspace, demand_.LimitShare(workspace, now), now);
+    quotas.SetPeerDemand(workspace, demand_.DemandOfPeers(workspace, now), now);
   }
   if (reported_hosts_ == demand_.hosts()) return;
   if (now - reported_hosts_at_ < kHostCountInterval) return;
   reported_hosts_ = demand_.hosts();
   reported_hosts_at_ = now;
-  forwarder_.ServersChanged();
+  forwarder_.OnServersChanged();
 }
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/early_requests_test.cc
+++ b/src/gateway/startup_queue_test.cc
@@ -1,4 +1,4 @@
-#include "gateway/early_requests.h"
+#include "gateway/startup_queue.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -7,18 +7,18 @@
 
 struct Fixture {
   Fixture()
-      : early(
+      : queue(
             &timers, [this] { return now; },
-            [this](CallerRequest request, EarlyRequests::Responder) {
+            [this](CallerRequest request, StartupQueue::Responder) {
               accepted += request.id.str();
             }) {}
 
   void Hold(const char* id) {
     CallerRequest request;
     request.id = RequestId(id);
-    early.Hold(std::move(request), nullptr);
+    queue.Hold(std::move(request), nullptr);
   }
-  void Pass(absl::Duration span) {
+  void AdvanceTime(absl::Duration span) {
     now += span;
     timers.Advance(now);
   }
@@ -26,26 +26,26 @@
   TimerService timers;
   absl::Time now = absl::UnixEpoch() + absl::Hours(1);
   std::string accepted;
-  EarlyRequests early;
+  StartupQueue queue;
 };
 
-// All hosts were restarted, and callers come before the configuration has. They
-// are served in order once it is there.
-BOOST_FIXTURE_TEST_CASE(HeldUntilTheHostKnowsEnough, Fixture) {
+// All hosts restart, and requests arrive before the configuration does. They
+// must be served in order as soon as it has arrived.
+BOOST_FIXTURE_TEST_CASE(RequestsAreHeldUntilRelease, Fixture) {
   Hold("a");
   Hold("b");
-  Pass(absl::Milliseconds(20));
+  AdvanceTime(absl::Milliseconds(20));
   BOOST_TEST(accepted == "");
-  early.Release();
+  queue.Release();
   BOOST_TEST(accepted == "ab");
-  Pass(absl::Seconds(1));
+  AdvanceTime(absl::Seconds(1));
   BOOST_TEST(accepted == "ab");
 }
 
-// The table service is away. Nobody is kept waiting for it.
-BOOST_FIXTURE_TEST_CASE(NobodyWaitsForLong, Fixture) {
+// The table service is unavailable. No request may be held beyond the timeout.
+BOOST_FIXTURE_TEST_CASE(HeldRequestsTimeOut, Fixture) {
   Hold("a");
-  Pass(absl::Milliseconds(200));
+  AdvanceTime(absl::Milliseconds(200));
   BOOST_TEST(accepted == "a");
   Hold("b");
   BOOST_TEST(accepted == "ab");
