--- a/src/base/retry.cc
+++ b/src/base/retry.cc
@@ -11,7 +11,8 @@
 }  // namespace
 
 void RetryBudget::OnCall() {
-  saved_ = std::min(options_.saved_retries, saved_ + options_.retries_per_call);
+  saved_ =
+      std::min(options_.max_saved_retries, saved_ + options_.retries_per_call);
 }
 
 bool RetryBudget::Take() {
@@ -20,8 +21,8 @@
   return true;
 }
 
-void RetryBudget::SetSavedRetries(double most) {
-  options_.saved_retries = most;
+void RetryBudget::SetMaxSavedRetries(double most) {
+  options_.max_saved_retries = most;
   saved_ = std::min(saved_, most);
 }
 
@@ -29,7 +30,7 @@
                           double random) {
   int doublings = std::min(retry, kMostDoublings);
   absl::Duration most = options.first_delay * (std::int64_t{1} << doublings);
-  return std::min(most, options.longest_delay) * random;
+  return std::min(most, options.max_delay) * random;
 }
 
 }  // namespace gentianlb
--- a/src/base/retry.h
+++ b/src/base/retry.h
@@ -14,9 +14,9 @@
   double retries_per_call = 0.1;
   // A tenth is a usual figure for retry budgets. A host with few calls may
   // still retry this often in a row, which rides over one failed server.
-  double saved_retries = 10;
+  double max_saved_retries = 10;
   absl::Duration first_delay = absl::Milliseconds(20);
-  absl::Duration longest_delay = absl::Seconds(1);
+  absl::Duration max_delay = absl::Seconds(1);
   bool operator==(const RetryOptions&) const = default;
 };
 
@@ -26,13 +26,13 @@
 class RetryBudget {
  public:
   explicit RetryBudget(RetryOptions options)
-      : options_(options), saved_(options.saved_retries) {}
+      : options_(options), saved_(options.max_saved_retries) {}
 
   void OnCall();
   // Takes one retry; false when there is none left.
   bool Take();
   // What may be saved up changes, as when a bound is divided among more users.
-  void SetSavedRetries(double most);
+  void SetMaxSavedRetries(double most);
 
  private:
   RetryOptions options_;
--- a/src/entry/answer_log_test.cc
+++ b/src/entry/answer_log_test.cc
@@ -20,7 +20,7 @@
   void Write(std::string_view bytes) override { body += bytes; }
   void Finish() override { finished = true; }
   void Abort() override { aborted = true; }
-  void OnGone(std::function<void()> /*callback*/) override {}
+  void OnDisconnect(std::function<void()> /*callback*/) override {}
   std::size_t Backlog() const override { return 0; }
 
   int status = 0;
--- a/src/entry/answer_relay.cc
+++ b/src/entry/answer_relay.cc
@@ -30,7 +30,7 @@
   auto self = shared_from_this();
   return {[self](int status, std::vector<http::Header> headers) {
             self->OnHead(status, std::move(headers));
-            return http::Reading::kGoOn;
+            return http::ReadAction::kContinue;
           },
           [self](std::string_view bytes) { self->OnData(bytes); },
           [self](http::TransferEnd end, std::string detail) {
--- a/src/entry/calls.cc
+++ b/src/entry/calls.cc
@@ -78,7 +78,7 @@
                         ? MakeStreamReader(responder, call->origin)
                         : MakeWholeReader(responder, call->origin));
   calls_[call->id] = call;
-  responder->OnGone(
+  responder->OnDisconnect(
       [this, id = call->id] { loop_->Post([this, id] { OnCallerGone(id); }); });
   metrics_->CountAccepted(call->request.tier);
   recorder_->Record(EventKind::kRequestAccepted, call->id.str(),
--- a/src/entry/engine_client.cc
+++ b/src/entry/engine_client.cc
@@ -120,7 +120,7 @@
   request.method = "POST";
   request.body = Json::writeString(writer, body);
   request.headers = {{"Content-Type", "application/json"}};
-  request.sending = http::Sending::kOwnConnection;
+  request.send_policy = http::SendPolicy::kFreshConnection;
   recorder_->Record(EventKind::kOrderSent, server.str(),
                     "order=" + order.id +
                         " kind=" + std::string(KindName(order.kind)) +
--- a/src/entry/server_call.cc
+++ b/src/entry/server_call.cc
@@ -37,13 +37,13 @@
   }
   if (request.kind == config::ServiceKind::kModel) {
     call.headers.push_back({"Content-Type", "application/json"});
-    call.silence = kStreamSilence;
+    call.inactivity_timeout = kStreamSilence;
   } else {
     call.timeout = limit;
   }
   call.body = request.body;
   call.connect_timeout = kConnectTimeout;
-  call.sending = http::Sending::kOwnConnection;
+  call.send_policy = http::SendPolicy::kFreshConnection;
   return call;
 }
 
@@ -53,7 +53,7 @@
   call.url = base + "/v1/streams/" + http::EncodePath(stream) +
              "?offset=" + std::to_string(offset);
   call.connect_timeout = kConnectTimeout;
-  call.silence = kStreamSilence;
+  call.inactivity_timeout = kStreamSilence;
   return call;
 }
 
--- a/src/gateway/fake_site_test.h
+++ b/src/gateway/fake_site_test.h
@@ -30,7 +30,7 @@
   void Write(std::string_view bytes) override { body += bytes; }
   void Finish() override { complete = true; }
   void Abort() override { cut = true; }
-  void OnGone(std::function<void()> callback) override {
+  void OnDisconnect(std::function<void()> callback) override {
     gone = std::move(callback);
   }
   std::size_t Backlog() const override { return 0; }
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -72,7 +72,7 @@
   if (index_ == nullptr) return;
   for (const Service& service : index_->configuration().services) {
     ServiceQueue& queue = QueueOf(service.id);
-    queue.retries().SetSavedRetries(options_.retry_burst / demand_->hosts());
+    queue.retries().SetMaxSavedRetries(options_.retry_burst / demand_->hosts());
     std::vector<schedule::Decision> decisions;
     queue.SetServers(service, directory_->ServersOf(service.id),
                      demand_->hosts(), clock_(), &decisions);
@@ -139,7 +139,7 @@
   const auto answer = exchange.responder;
   Enqueue(exchange, ServerId());
   // Last, since a caller that has left already is told of at once.
-  answer->OnGone([this, id] {
+  answer->OnDisconnect([this, id] {
     if (Exchange* left = Find(id)) CallerGone(*left);
   });
 }
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -113,7 +113,7 @@
 
   // One sending, in order.
   void Send(Exchange& exchange, const ServerEntry& server);
-  http::Reading TakeHead(Exchange& exchange, AnswerHead head);
+  http::ReadAction TakeHead(Exchange& exchange, AnswerHead head);
   void TakeBytes(Exchange& exchange, std::string_view bytes);
   void TakeEnd(Exchange& exchange, http::TransferEnd end,
                const std::string& detail);
--- a/src/gateway/forwarder_sending.cc
+++ b/src/gateway/forwarder_sending.cc
@@ -57,7 +57,7 @@
   CallSink sink;
   sink.on_head = [this, current](AnswerHead head) {
     Exchange* found = current();
-    return found == nullptr ? http::Reading::kStop
+    return found == nullptr ? http::ReadAction::kStop
                             : TakeHead(*found, std::move(head));
   };
   sink.on_data = [this, current](std::string_view bytes) {
@@ -124,22 +124,23 @@
   }
 }
 
-http::Reading Forwarder::TakeHead(Exchange& exchange, AnswerHead head) {
+http::ReadAction Forwarder::TakeHead(Exchange& exchange, AnswerHead head) {
   if (!head.is_own) {
     LOG(WARNING) << "event=foreign-answer request=" << exchange.request->id
                  << " server=" << exchange.attempt.server->id;
-    return http::Reading::kStop;
+    return http::ReadAction::kStop;
   }
   const std::optional<ServerLoad> load = head.load;
   exchange.attempt.head_seen = true;
   exchange.attempt.head = std::move(head);
-  if (!load) return http::Reading::kGoOn;
+  if (!load) return http::ReadAction::kContinue;
   // Carrying out what follows from it may end this request too.
   const ExchangeId id = exchange.id;
   Tell(exchange.service->id,
        schedule::LoadAnswered{exchange.attempt.server->id, load->running,
                               load->waiting});
-  return Find(id) == nullptr ? http::Reading::kStop : http::Reading::kGoOn;
+  return Find(id) == nullptr ? http::ReadAction::kStop
+                             : http::ReadAction::kContinue;
 }
 
 void Forwarder::TakeBytes(Exchange& exchange, std::string_view bytes) {
--- a/src/gateway/forwarder_test.cc
+++ b/src/gateway/forwarder_test.cc
@@ -198,7 +198,7 @@
   AnswerHead head;
   head.status = 200;
   head.is_own = false;
-  BOOST_TEST((site.last().sink.on_head(head) == http::Reading::kStop));
+  BOOST_TEST((site.last().sink.on_head(head) == http::ReadAction::kStop));
   site.last().Data("paid");
   site.last().End(TransferEnd::kBroken);
   BOOST_TEST(caller->status == 502);
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -239,7 +239,7 @@
                  absl::ToDoubleSeconds(follower->Behind()));
   }
   metrics_.Set("gentianlb_log_lines_left_out", "For the log's bound", {},
-               static_cast<double>(log_->left_out()));
+               static_cast<double>(log_->dropped_lines()));
   return metrics_.Text();
 }
 
--- a/src/gateway/messages.h
+++ b/src/gateway/messages.h
@@ -94,7 +94,7 @@
 // What comes back from one sending, in this order. After a head that is not
 // wanted nothing but the end follows.
 struct CallSink {
-  std::function<http::Reading(AnswerHead head)> on_head;
+  std::function<http::ReadAction(AnswerHead head)> on_head;
   std::function<void(std::string_view bytes)> on_data;
   std::function<void(http::TransferEnd end, std::string detail)> on_end;
 };
--- a/src/gateway/peers.cc
+++ b/src/gateway/peers.cc
@@ -43,7 +43,7 @@
 // Others find a host that is not announced only by hearing from it; a second is
 // no loss to them.
 constexpr RetryOptions kAnnounceRetry = {.first_delay = absl::Milliseconds(100),
-                                         .longest_delay = absl::Seconds(1)};
+                                         .max_delay = absl::Seconds(1)};
 
 // A host that can't read who else there is goes on with whom it hears.
 constexpr absl::Duration kReadTime = absl::Seconds(3);
@@ -60,7 +60,7 @@
 
 // The names of a host and its address.
 constexpr std::size_t kMostEnvelopeBytes = 8 << 10;
-static_assert(kMostChangeBytes + kMostEnvelopeBytes <= loop::kMostMessageBytes);
+static_assert(kMostChangeBytes + kMostEnvelopeBytes <= loop::kMaxMessageBytes);
 
 std::string Seal(const Envelope& envelope) {
   std::ostringstream out;
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_follower.h
@@ -86,7 +86,7 @@
   absl::Duration standby_interval = absl::Seconds(1);
   // Short against the two seconds in which a new version must be in force.
   RetryOptions retry = {.first_delay = absl::Milliseconds(50),
-                        .longest_delay = absl::Milliseconds(800)};
+                        .max_delay = absl::Milliseconds(800)};
 };
 
 enum class Following {
--- a/src/gentianctl/remote.cc
+++ b/src/gentianctl/remote.cc
@@ -63,7 +63,7 @@
   request.body = std::move(message);
   request.timeout = absl::Seconds(remote.timeout_seconds);
   // A confirm that a library repeats by itself would hide a lost answer.
-  request.sending = http::Sending::kOwnConnection;
+  request.send_policy = http::SendPolicy::kFreshConnection;
   request.ca_file = remote.ca_file;
   return request;
 }
--- a/src/http/answer.h
+++ b/src/http/answer.h
@@ -63,7 +63,7 @@
   void Finish() { End(Phase::kFinished); }
   void Abort() { End(Phase::kAborted); }
 
-  void OnGone(std::function<void()> callback) {
+  void OnDisconnect(std::function<void()> callback) {
     {
       absl::MutexLock lock(&mutex_);
       if (!gone_) {
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -58,7 +58,8 @@
   int PollTime() const {
     auto silent =
         std::find_if(transfers.begin(), transfers.end(), [](const auto& entry) {
-          return entry.second->request().silence < absl::InfiniteDuration();
+          return entry.second->request().inactivity_timeout <
+                 absl::InfiniteDuration();
         });
     return silent == transfers.end() ? kPollMilliseconds
                                      : kPollMilliseconds / 10;
@@ -92,7 +93,8 @@
     absl::Time now = absl::Now();
     std::vector<TransferId> silent;
     for (const auto& [id, transfer] : transfers) {
-      if (now - transfer->last_byte() > transfer->request().silence) {
+      if (now - transfer->last_byte() >
+          transfer->request().inactivity_timeout) {
         silent.push_back(id);
       }
     }
@@ -127,7 +129,7 @@
   sink.on_head = [reply](int status, std::vector<Header> headers) {
     reply->status = status;
     reply->headers = std::move(headers);
-    return Reading::kGoOn;
+    return ReadAction::kContinue;
   };
   sink.on_data = [reply](std::string_view bytes) { reply->body += bytes; };
   sink.on_end = [reply, done = std::move(done)](TransferEnd end,
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -30,14 +30,14 @@
 
 // On which connection a request goes, and whether libcurl may send it again by
 // itself when a reused connection turns out to be dead.
-enum class Sending {
-  kRepeatable,     // On a kept connection; may be sent again.
-  kOnce,           // On a kept connection; such a transfer ends as kBroken.
-  kOwnConnection,  // On a new connection that is closed after it.
+enum class SendPolicy {
+  kAllowResend,      // On a kept connection; may be sent again.
+  kNoResend,         // On a kept connection; such a transfer ends as kBroken.
+  kFreshConnection,  // On a new connection that is closed after it.
 };
 
 // What the reader of an answer wants after its head.
-enum class Reading { kGoOn, kStop };
+enum class ReadAction { kContinue, kStop };
 
 struct ClientRequest {
   std::string method = "GET";
@@ -48,11 +48,12 @@
   std::string body;
   absl::Duration connect_timeout = absl::Seconds(1);
   absl::Duration timeout = absl::InfiniteDuration();  // For the whole transfer.
-  absl::Duration silence = absl::InfiniteDuration();  // Without any byte.
+  absl::Duration inactivity_timeout =
+      absl::InfiniteDuration();  // Without any byte.
 
-  Sending sending = Sending::kRepeatable;
+  SendPolicy send_policy = SendPolicy::kAllowResend;
   // A kept connection that was idle for longer is not used again.
-  absl::Duration most_idle = absl::InfiniteDuration();
+  absl::Duration max_connection_idle = absl::InfiniteDuration();
 
   std::string ca_file;  // Checks the peer's certificate against it, for https.
 };
@@ -60,7 +61,7 @@
 // What comes back; called from the client's thread, in this order. Must not
 // block.
 struct TransferSink {
-  std::function<Reading(int status, std::vector<Header> headers)> on_head;
+  std::function<ReadAction(int status, std::vector<Header> headers)> on_head;
   std::function<void(std::string_view bytes)> on_data;
   std::function<void(TransferEnd end, std::string detail)> on_end;
 };
--- a/src/http/http_test.cc
+++ b/src/http/http_test.cc
@@ -99,7 +99,7 @@
   std::shared_ptr<Responder> kept;
   auto server = StartOrDie({}, [&](Request, auto answer) {
     kept = answer;
-    answer->OnGone([&] { gone.Notify(); });
+    answer->OnDisconnect([&] { gone.Notify(); });
     answer->Begin(200, {});
     answer->Write("x");
     begun.Notify();
--- a/src/http/loop_server_test.cc
+++ b/src/http/loop_server_test.cc
@@ -148,7 +148,7 @@
     caller.Send(kGet);
     for (int i = 0; i < 100 && held.empty(); ++i) Turn();
     BOOST_REQUIRE(held.size() == 1u);
-    held[0]->OnGone([&] { gone = true; });
+    held[0]->OnDisconnect([&] { gone = true; });
   }
   for (int i = 0; i < 100 && !gone; ++i) Turn();
   BOOST_TEST(gone);
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -48,8 +48,8 @@
   void Write(std::string_view bytes) override { answer_->Write(bytes); }
   void Finish() override { answer_->Finish(); }
   void Abort() override { answer_->Abort(); }
-  void OnGone(std::function<void()> callback) override {
-    answer_->OnGone(std::move(callback));
+  void OnDisconnect(std::function<void()> callback) override {
+    answer_->OnDisconnect(std::move(callback));
   }
   std::size_t Backlog() const override { return answer_->Backlog(); }
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -74,7 +74,7 @@
 
   // Calls `callback` once, from a server thread, when the caller closes the
   // connection before the answer is complete.
-  virtual void OnGone(std::function<void()> callback) = 0;
+  virtual void OnDisconnect(std::function<void()> callback) = 0;
 
   // Bytes written and not yet taken by the caller's connection.
   virtual std::size_t Backlog() const = 0;
--- a/src/http/transfer.cc
+++ b/src/http/transfer.cc
@@ -99,13 +99,15 @@
                    Milliseconds(request_.connect_timeout));
   curl_easy_setopt(handle_, CURLOPT_SOCKOPTFUNCTION, &OnSocket);
   curl_easy_setopt(handle_, CURLOPT_SOCKOPTDATA, this);
-  if (request_.most_idle < absl::InfiniteDuration()) {
-    curl_easy_setopt(handle_, CURLOPT_MAXAGE_CONN,
-                     static_cast<long>(  // NOLINT: libcurl's own type
-                         std::max<std::int64_t>(
-                             1, absl::ToInt64Seconds(request_.most_idle))));
+  if (request_.max_connection_idle < absl::InfiniteDuration()) {
+    curl_easy_setopt(
+        handle_, CURLOPT_MAXAGE_CONN,
+        static_cast<long>(  // NOLINT: libcurl's own type
+            std::max<std::int64_t>(
+                1, absl::ToInt64Seconds(request_.max_connection_idle))));
   }
-  const bool own_connection = request_.sending == Sending::kOwnConnection;
+  const bool own_connection =
+      request_.send_policy == SendPolicy::kFreshConnection;
   if (own_connection) {
     curl_easy_setopt(handle_, CURLOPT_FRESH_CONNECT, 1L);
     curl_easy_setopt(handle_, CURLOPT_FORBID_REUSE, 1L);
@@ -181,7 +183,8 @@
                               int /*local_port*/) {
   auto& transfer = *static_cast<Transfer*>(closure);
   const bool again = transfer.sendings_++ > 0;
-  const bool allowed = transfer.request_.sending == Sending::kRepeatable;
+  const bool allowed =
+      transfer.request_.send_policy == SendPolicy::kAllowResend;
   return again && !allowed ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
 }
 
@@ -207,7 +210,7 @@
   curl_easy_getinfo(handle_, CURLINFO_RESPONSE_CODE, &status);
   if (!sink_.on_head) return;
   refused_by_sink_ =
-      sink_.on_head(static_cast<int>(status), headers_) == Reading::kStop;
+      sink_.on_head(static_cast<int>(status), headers_) == ReadAction::kStop;
 }
 
 TransferEnd Transfer::Finish(CURLcode code) {
--- a/src/log/bounded_log.h
+++ b/src/log/bounded_log.h
@@ -42,7 +42,7 @@
   // Writes as much as the reader takes now.
   void Flush();
 
-  std::uint64_t left_out() const { return left_out_; }
+  std::uint64_t dropped_lines() const { return left_out_; }
 
   void send(google::LogSeverity severity, const char* full_filename,
             const char* base_filename, int line,
--- a/src/loop/datagram_socket.cc
+++ b/src/loop/datagram_socket.cc
@@ -26,7 +26,7 @@
       descriptor_(descriptor),
       port_(port),
       on_message_(std::move(on_message)),
-      buffer_(kMostMessageBytes) {
+      buffer_(kMaxMessageBytes) {
   loop_->Watch(descriptor_, EPOLLIN, [this](std::uint32_t) { Receive(); });
 }
 
@@ -60,7 +60,7 @@
 
 bool DatagramSocket::Send(const std::string& ip, std::uint16_t port,
                           std::string_view bytes) {
-  if (bytes.size() > kMostMessageBytes) return false;
+  if (bytes.size() > kMaxMessageBytes) return false;
   sockaddr_in address;
   if (!MakeAddress(ip, port, &address)) return false;
   const ssize_t sent =
--- a/src/loop/datagram_socket.h
+++ b/src/loop/datagram_socket.h
@@ -17,7 +17,7 @@
 namespace gentianlb::loop {
 
 // The longest message. A datagram over IPv4 can't hold 64 KiB.
-inline constexpr std::size_t kMostMessageBytes = 60 << 10;
+inline constexpr std::size_t kMaxMessageBytes = 60 << 10;
 
 class DatagramSocket {
  public:
--- a/src/loop/datagram_socket_test.cc
+++ b/src/loop/datagram_socket_test.cc
@@ -19,7 +19,7 @@
   auto from =
       DatagramSocket::Bind(&loop, "127.0.0.1", 0, [](std::string_view) {});
   BOOST_REQUIRE(from.ok());
-  std::string sent(kMostMessageBytes, 'x');
+  std::string sent(kMaxMessageBytes, 'x');
   sent.back() = 'y';
   BOOST_REQUIRE(from.value()->Send("127.0.0.1", to.value()->port(), sent));
   loop.Run();
@@ -32,7 +32,7 @@
   auto socket =
       DatagramSocket::Bind(&loop, "127.0.0.1", 0, [](std::string_view) {});
   BOOST_REQUIRE(socket.ok());
-  const std::string large(kMostMessageBytes + 1, 'x');
+  const std::string large(kMaxMessageBytes + 1, 'x');
   BOOST_TEST(!socket.value()->Send("127.0.0.1", socket.value()->port(), large));
 }
 
--- a/tests/process/callers.cc
+++ b/tests/process/callers.cc
@@ -78,7 +78,7 @@
     absl::MutexLock lock(&state->mutex);
     state->answer.status = status;
     state->answer.headers = std::move(headers);
-    return http::Reading::kGoOn;
+    return http::ReadAction::kContinue;
   };
   sink.on_data = [state = state_](std::string_view bytes) {
     absl::MutexLock lock(&state->mutex);
@@ -137,7 +137,7 @@
   request.headers = std::move(headers);
   request.body = body;
   // A caller that repeats by itself would hide what the test looks for.
-  request.sending = http::Sending::kOwnConnection;
+  request.send_policy = http::SendPolicy::kFreshConnection;
   return Call(client_, std::move(request));
 }
 
--- a/tests/process/gateway_test.cc
+++ b/tests/process/gateway_test.cc
@@ -115,7 +115,7 @@
       request.headers.push_back({"Token-Count", "100,20"});
     }
     request.body = "body of " + id;
-    request.sending = http::Sending::kOwnConnection;
+    request.send_policy = http::SendPolicy::kFreshConnection;
     return client_.FetchAndWait(std::move(request));
   }
 
