--- a/src/http/http_test.cc
+++ b/src/http/http_test.cc
@@ -19,12 +19,12 @@
   return std::move(server.value());
 }
 
-BOOST_AUTO_TEST_CASE(AnswersWholeWithHeadersQueryAndBody) {
-  auto server = StartOrDie({}, [](Request request, auto answer) {
+BOOST_AUTO_TEST_CASE(RespondsWithHeadersQueryAndBody) {
+  auto server = StartOrDie({}, [](Request request, auto response) {
     std::string text = request.method + request.path +
                        std::string(request.argument("a")) + request.body +
                        std::string(request.header("x-one"));
-    answer->Respond(201, {{"X-Two", "2"}}, text);
+    response->Respond(201, {{"X-Two", "2"}}, text);
   });
   Client client;
   Reply reply = client.FetchAndWait({.method = "POST",
@@ -38,35 +38,35 @@
 }
 
 BOOST_AUTO_TEST_CASE(StreamsFromAnotherThread) {
-  std::shared_ptr<Responder> kept;
+  std::shared_ptr<Responder> responder;
   absl::Notification arrived;
-  auto server = StartOrDie({}, [&](Request, auto answer) {
-    kept = answer;
+  auto server = StartOrDie({}, [&](Request, auto response) {
+    responder = response;
     arrived.Notify();
   });
   Client client;
   absl::Notification done;
   Reply reply;
-  client.Fetch({.url = Url(*server, "/")}, [&](Reply got) {
-    reply = std::move(got);
+  client.Fetch({.url = Url(*server, "/")}, [&](Reply received) {
+    reply = std::move(received);
     done.Notify();
   });
   arrived.WaitForNotification();
-  kept->Begin(200, {});
-  for (int i = 0; i < 100; ++i) kept->Write(std::to_string(i) + ",");
-  kept->Finish();
+  responder->Begin(200, {});
+  for (int i = 0; i < 100; ++i) responder->Write(std::to_string(i) + ",");
+  responder->Finish();
   done.WaitForNotification();
   BOOST_TEST((reply.end == TransferEnd::kComplete));
   BOOST_TEST(reply.body.ends_with("98,99,"));
 }
 
-// A host that dies in the middle of a stream must not leave the caller with
-// something that looks like a whole answer: the transfer has to end as broken.
-BOOST_AUTO_TEST_CASE(AnAbortedStreamIsSeenAsBroken) {
-  auto server = StartOrDie({}, [&](Request, auto answer) {
-    answer->Begin(200, {});
-    answer->Write("half");
-    answer->Abort();
+// A host that dies within a stream must not leave the caller with a truncated
+// response that looks complete.
+BOOST_AUTO_TEST_CASE(AbortedStreamEndsAsBroken) {
+  auto server = StartOrDie({}, [&](Request, auto response) {
+    response->Begin(200, {});
+    response->Write("half");
+    response->Abort();
   });
   Client client;
   Reply reply = client.FetchAndWait({.url = Url(*server, "/")});
@@ -74,13 +74,14 @@
   BOOST_TEST(std::string("half").starts_with(reply.body));
 }
 
-// A caller sends more than the operator allows. It gets the numbered refusal,
-// and the next caller is served as usual.
-BOOST_AUTO_TEST_CASE(AnOversizedBodyGetsItsNumber) {
+// A caller sends a larger body than the limit. It gets the refusal with its
+// code, and the next caller is served as usual.
+BOOST_AUTO_TEST_CASE(OversizedBodyIsRefusedWithItsCode) {
   ServerSettings settings;
   settings.limits.max_body_bytes = 1000;
-  auto server = StartOrDie(
-      settings, [](Request, auto answer) { answer->Respond(200, {}, "fine"); });
+  auto server = StartOrDie(settings, [](Request, auto response) {
+    response->Respond(200, {}, "fine");
+  });
   Client client;
   Reply large = client.FetchAndWait({.method = "POST",
                                      .url = Url(*server, "/"),
@@ -91,37 +92,37 @@
   BOOST_TEST(next.body == "fine");
 }
 
-// The caller hangs up while its answer is still being made. Whoever makes it
-// has to learn that, else a server goes on computing for nobody.
-BOOST_AUTO_TEST_CASE(ACallerThatHangsUpIsNoticed) {
-  absl::Notification gone;
+// The caller disconnects while its response is being produced. If the handler
+// isn't notified, a backend server goes on computing for a disconnected caller.
+BOOST_AUTO_TEST_CASE(CallerDisconnectIsReported) {
+  absl::Notification disconnected;
   absl::Notification begun;
-  std::shared_ptr<Responder> kept;
-  auto server = StartOrDie({}, [&](Request, auto answer) {
-    kept = answer;
-    answer->OnDisconnect([&] { gone.Notify(); });
-    answer->Begin(200, {});
-    answer->Write("x");
+  std::shared_ptr<Responder> responder;
+  auto server = StartOrDie({}, [&](Request, auto response) {
+    responder = response;
+    response->OnDisconnect([&] { disconnected.Notify(); });
+    response->Begin(200, {});
+    response->Write("x");
     begun.Notify();
   });
   Client client;
   TransferId id = client.Start({.url = Url(*server, "/")}, {});
   begun.WaitForNotification();
   client.Cancel(id);
-  // A closed connection shows itself at the next writes.
-  while (!gone.HasBeenNotified()) {
-    kept->Write("y");
-    gone.WaitForNotificationWithTimeout(absl::Milliseconds(5));
+  // The server detects a closed connection at the next writes.
+  while (!disconnected.HasBeenNotified()) {
+    responder->Write("y");
+    disconnected.WaitForNotificationWithTimeout(absl::Milliseconds(5));
   }
 }
 
-// A host shuts down while a peer has not yet answered it. What the end of the
-// transfer refers to is destroyed next, so the end has to come before that.
-BOOST_AUTO_TEST_CASE(StopEndsWhatIsUnderWay) {
-  std::shared_ptr<Responder> kept;
+// A host shuts down while a transfer is running. The objects that its callback
+// refers to are destroyed next, so Stop() must end the transfer before.
+BOOST_AUTO_TEST_CASE(StopEndsRunningTransfers) {
+  std::shared_ptr<Responder> responder;
   absl::Notification arrived;
-  auto server = StartOrDie({}, [&](Request, auto answer) {
-    kept = answer;
+  auto server = StartOrDie({}, [&](Request, auto response) {
+    responder = response;
     arrived.Notify();
   });
   Client client;
@@ -133,9 +134,9 @@
   BOOST_TEST((end == TransferEnd::kCancelled));
 }
 
-// Nothing listens: it is certain that no byte left, so another server may be
-// tried without a risk of running the request twice.
-BOOST_AUTO_TEST_CASE(ARefusedConnectionIsCertainlyNotSent) {
+// Nothing listens on the port, so no byte was sent. The request can be retried
+// on another server without the risk of running twice.
+BOOST_AUTO_TEST_CASE(RefusedConnectionEndsAsNotSent) {
   std::uint16_t port = 0;
   {
     auto server = StartOrDie({}, [](Request, auto) {});
--- a/src/http/loop_connections.cc
+++ b/src/http/loop_connections.cc
@@ -7,37 +7,39 @@
 
 namespace gentianlb::http {
 
-void LoopConnections::Opened(MHD_Connection* connection) {
+void LoopConnections::OnOpened(MHD_Connection* connection) {
   const MHD_ConnectionInfo* info =
       MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD);
-  Link link;
-  link.descriptor = info->connect_fd;
-  // Edge-triggered: a half-closed connection would be reported in every round
-  // until libmicrohttpd closes it.
-  loop_->Watch(link.descriptor, EPOLLRDHUP | EPOLLET,
-               [this, connection](std::uint32_t) { CallerLeft(connection); });
-  links_.emplace(connection, std::move(link));
+  Connection state;
+  state.descriptor = info->connect_fd;
+  // Edge-triggered: otherwise a half-closed connection is reported in every
+  // round until libmicrohttpd closes it.
+  loop_->Watch(
+      state.descriptor, EPOLLRDHUP | EPOLLET,
+      [this, connection](std::uint32_t) { OnCallerDisconnect(connection); });
+  connections_.emplace(connection, std::move(state));
   ApplyTimeout(connection);
 }
 
-void LoopConnections::Closed(MHD_Connection* connection) {
-  const auto found = links_.find(connection);
-  if (found == links_.end()) return;
+void LoopConnections::OnClosed(MHD_Connection* connection) {
+  const auto found = connections_.find(connection);
+  if (found == connections_.end()) return;
   loop_->Unwatch(found->second.descriptor);
-  links_.erase(found);
+  connections_.erase(found);
 }
 
-bool LoopConnections::Awaits(MHD_Connection* connection,
-                             const std::shared_ptr<Answer>& answer) {
-  const auto found = links_.find(connection);
-  if (found == links_.end()) return true;
-  found->second.answer = answer;
-  return !found->second.caller_left;
+bool LoopConnections::SetPendingResponse(
+    MHD_Connection* connection,
+    const std::shared_ptr<PendingResponse>& response) {
+  const auto found = connections_.find(connection);
+  if (found == connections_.end()) return true;
+  found->second.response = response;
+  return !found->second.caller_disconnected;
 }
 
 void LoopConnections::SetIdleTimeout(absl::Duration timeout) {
   idle_timeout_ = timeout;
-  for (const auto& [connection, link] : links_) ApplyTimeout(connection);
+  for (const auto& [connection, state] : connections_) ApplyTimeout(connection);
 }
 
 void LoopConnections::ApplyTimeout(MHD_Connection* connection) const {
@@ -46,11 +48,11 @@
   MHD_set_connection_option(connection, MHD_CONNECTION_OPTION_TIMEOUT, seconds);
 }
 
-void LoopConnections::CallerLeft(MHD_Connection* connection) {
-  const auto found = links_.find(connection);
-  if (found == links_.end()) return;
-  found->second.caller_left = true;
-  if (const auto answer = found->second.answer.lock()) answer->CallerLeft();
+void LoopConnections::OnCallerDisconnect(MHD_Connection* connection) {
+  const auto found = connections_.find(connection);
+  if (found == connections_.end()) return;
+  found->second.caller_disconnected = true;
+  if (const auto response = found->second.response.lock()) response->Cancel();
 }
 
 }  // namespace gentianlb::http
--- a/src/http/loop_connections.h
+++ b/src/http/loop_connections.h
@@ -1,7 +1,7 @@
-// Connections of callers on an event loop: which are open, and whose caller has
-// gone. libmicrohttpd doesn't look at a connection while its answer is awaited,
-// so without this a server would go on computing for nobody until the answer's
-// first byte fails to be sent.
+// Tracks the callers' connections of a server on an event loop and detects
+// callers that disconnect. libmicrohttpd doesn't check a connection whose
+// response is pending, so a backend server would compute for a disconnected
+// caller until sending the first byte of the response fails.
 
 #ifndef GENTIANLB_HTTP_LOOP_CONNECTIONS_H_
 #define GENTIANLB_HTTP_LOOP_CONNECTIONS_H_
@@ -12,7 +12,7 @@
 
 #include "absl/container/flat_hash_map.h"
 #include "absl/time/time.h"
-#include "http/answer.h"
+#include "http/pending_response.h"
 #include "loop/event_loop.h"
 
 namespace gentianlb::http {
@@ -22,32 +22,32 @@
   LoopConnections(loop::EventLoop* loop, absl::Duration idle_timeout)
       : loop_(loop), idle_timeout_(idle_timeout) {}
 
-  void Opened(MHD_Connection* connection);
-  void Closed(MHD_Connection* connection);
+  void OnOpened(MHD_Connection* connection);
+  void OnClosed(MHD_Connection* connection);
 
-  // The answer that is awaited on the connection now. False when its caller has
-  // left already.
-  bool Awaits(MHD_Connection* connection,
-              const std::shared_ptr<Answer>& answer);
+  // Sets the response that is pending on `connection`. Returns false if the
+  // caller has already disconnected.
+  bool SetPendingResponse(MHD_Connection* connection,
+                          const std::shared_ptr<PendingResponse>& response);
 
-  // Also for those that are open already.
+  // Applies to open connections and to new ones.
   void SetIdleTimeout(absl::Duration timeout);
 
-  std::size_t size() const { return links_.size(); }
+  std::size_t size() const { return connections_.size(); }
 
  private:
-  struct Link {
+  struct Connection {
     int descriptor = -1;
-    bool caller_left = false;
-    std::weak_ptr<Answer> answer;
+    bool caller_disconnected = false;
+    std::weak_ptr<PendingResponse> response;
   };
 
   void ApplyTimeout(MHD_Connection* connection) const;
-  void CallerLeft(MHD_Connection* connection);
+  void OnCallerDisconnect(MHD_Connection* connection);
 
   loop::EventLoop* const loop_;
   absl::Duration idle_timeout_;
-  absl::flat_hash_map<MHD_Connection*, Link> links_;
+  absl::flat_hash_map<MHD_Connection*, Connection> connections_;
 };
 
 }  // namespace gentianlb::http
--- a/src/http/loop_server_test.cc
+++ b/src/http/loop_server_test.cc
@@ -1,4 +1,4 @@
-// The server on an event loop, driven by raw sockets from the same thread.
+// Tests the server on an event loop with raw sockets from the same thread.
 
 #include <arpa/inet.h>
 #include <sys/socket.h>
@@ -36,7 +36,7 @@
                   static_cast<ssize_t>(text.size()));
   }
 
-  // What has arrived.
+  // Returns the bytes that have arrived, without blocking.
   std::string Read() const {
     std::string text(4096, '\0');
     const ssize_t count = recv(socket_, text.data(), text.size(), MSG_DONTWAIT);
@@ -55,103 +55,103 @@
   Fixture() {
     ServerSettings settings;
     settings.loop = &loop;
-    auto started = Server::Start(settings, [this](Request, auto answer) {
-      if (holds) return held.push_back(std::move(answer));
-      answer->Respond(200, {}, "fine");
+    auto started = Server::Start(settings, [this](Request, auto response) {
+      if (hold_responses) return held.push_back(std::move(response));
+      response->Respond(200, {}, "fine");
     });
     BOOST_REQUIRE(started.ok());
     server = std::move(started.value());
   }
 
-  // Lets the loop run for a moment; longer where the machine is slow does no
-  // harm, as nothing that is awaited here depends on time.
-  void Turn() {
+  // Runs the loop for 50 ms. The tests don't depend on the exact time.
+  void RunLoop() {
     loop.timers().At(loop::SteadyNow() + absl::Milliseconds(50),
                      [this](absl::Time) { loop.Stop(); });
     loop.Run();
   }
-  // One round of events, without waiting for any.
-  void Round() {
+  // Runs one round of events without waiting.
+  void RunOneRound() {
     loop.timers().At(loop::SteadyNow(), [this](absl::Time) { loop.Stop(); });
     loop.Run();
   }
-  // Until something arrives.
-  std::string Await(const Caller& caller) {
-    std::string got;
-    for (int i = 0; i < 100 && got.empty(); ++i) {
-      Turn();
-      got = caller.Read();
+  // Runs the loop until bytes arrive at `caller`, and returns them.
+  std::string ReadResponse(const Caller& caller) {
+    std::string received;
+    for (int i = 0; i < 100 && received.empty(); ++i) {
+      RunLoop();
+      received = caller.Read();
     }
-    return got;
+    return received;
   }
 
   loop::EventLoop loop;
-  bool holds = false;
+  bool hold_responses = false;
   std::vector<std::shared_ptr<Responder>> held;
   std::unique_ptr<Server> server;
 };
 
-BOOST_FIXTURE_TEST_CASE(AnswersOnKeptConnections, Fixture) {
+BOOST_FIXTURE_TEST_CASE(RespondsOnKeptConnections, Fixture) {
   const Caller caller(server->port());
   for (int i = 0; i < 3; ++i) {
     caller.Send(kGet);
-    BOOST_TEST(Await(caller).ends_with("fine"));
+    BOOST_TEST(ReadResponse(caller).ends_with("fine"));
   }
   BOOST_TEST(server->open_connections() == 1u);
 }
 
-// A caller sends two requests at once. The second is in the library's buffer
-// when the first is answered, and no event tells of it; it lay there until
-// something else happened, on a quiet host for up to a second.
-BOOST_FIXTURE_TEST_CASE(WhatIsReadAlreadyIsServedWithoutAnEvent, Fixture) {
+// A caller sends two requests at once. The second is in libmicrohttpd's buffer
+// when the first is answered, and no socket event reports it. It stayed unread
+// until the next event, up to a second on an idle host.
+BOOST_FIXTURE_TEST_CASE(PipelinedRequestIsServedWithoutAnEvent, Fixture) {
   const Caller caller(server->port());
   caller.Send(std::string(kGet) + kGet);
-  std::string got = Await(caller);
-  auto answers = [&] {
+  std::string received = ReadResponse(caller);
+  auto count_responses = [&] {
     std::size_t count = 0;
-    for (auto at = got.find("fine"); at != std::string::npos;
-         at = got.find("fine", at + 1)) {
+    for (auto at = received.find("fine"); at != std::string::npos;
+         at = received.find("fine", at + 1)) {
       ++count;
     }
     return count;
   };
-  for (int i = 0; i < 20 && answers() < 2; ++i) {
-    Round();
-    got += caller.Read();
+  for (int i = 0; i < 20 && count_responses() < 2; ++i) {
+    RunOneRound();
+    received += caller.Read();
   }
-  BOOST_TEST(answers() == 2u);
+  BOOST_TEST(count_responses() == 2u);
 }
 
-// A host that stops keeps serving the connections that it has. Whoever comes
-// anew has to be refused at once: accepted by the kernel and read by nobody, it
-// would wait until the process ends.
-BOOST_FIXTURE_TEST_CASE(AfterItStopsAcceptingOnlyKeptConnectionsAreServed,
+// A host that shuts down keeps serving its open connections. New connections
+// must be refused at once: if the kernel accepted them, their callers would
+// wait until the process ends.
+BOOST_FIXTURE_TEST_CASE(AfterStopAcceptingOnlyOpenConnectionsAreServed,
                         Fixture) {
   const Caller kept(server->port());
   kept.Send(kGet);
-  BOOST_TEST(Await(kept).ends_with("fine"));
+  BOOST_TEST(ReadResponse(kept).ends_with("fine"));
   server->StopAccepting();
-  Turn();
+  RunLoop();
   const Caller late(server->port());
   BOOST_TEST(!late.connected());
   kept.Send(kGet);
-  BOOST_TEST(Await(kept).ends_with("fine"));
+  BOOST_TEST(ReadResponse(kept).ends_with("fine"));
 }
 
-// The caller hangs up while its answer is awaited, and nothing is sent that
-// would show it.
-BOOST_FIXTURE_TEST_CASE(ACallerThatLeavesWhileItWaitsIsNoticed, Fixture) {
-  holds = true;
-  bool gone = false;
+// The caller disconnects while its response is pending, so no failing write
+// reveals it.
+BOOST_FIXTURE_TEST_CASE(CallerDisconnectIsReportedWhileResponseIsPending,
+                        Fixture) {
+  hold_responses = true;
+  bool disconnected = false;
   {
     const Caller caller(server->port());
     caller.Send(kGet);
-    for (int i = 0; i < 100 && held.empty(); ++i) Turn();
+    for (int i = 0; i < 100 && held.empty(); ++i) RunLoop();
     BOOST_REQUIRE(held.size() == 1u);
-    held[0]->OnDisconnect([&] { gone = true; });
+    held[0]->OnDisconnect([&] { disconnected = true; });
   }
-  for (int i = 0; i < 100 && !gone; ++i) Turn();
-  BOOST_TEST(gone);
+  for (int i = 0; i < 100 && !disconnected; ++i) RunLoop();
+  BOOST_TEST(disconnected);
 }
 
 }  // namespace
--- a/src/http/answer.h
+++ b/src/http/pending_response.h
@@ -1,8 +1,8 @@
-// The state of one answer of the HTTP server, between the connection of
-// libmicrohttpd and whoever answers.
+// The state of one response of the HTTP server, shared by the libmicrohttpd
+// connection and the request handler.
 
-#ifndef GENTIANLB_HTTP_ANSWER_H_
-#define GENTIANLB_HTTP_ANSWER_H_
+#ifndef GENTIANLB_HTTP_PENDING_RESPONSE_H_
+#define GENTIANLB_HTTP_PENDING_RESPONSE_H_
 
 #include <microhttpd.h>
 #include <sys/types.h>
@@ -21,17 +21,17 @@
 
 namespace gentianlb::http {
 
-// Bytes handed to libmicrohttpd in one call of the stream's reader.
+// Block size of the callback through which libmicrohttpd reads a stream.
 inline constexpr std::size_t kStreamBlockBytes = 4 << 10;
 
-// The state of one answer, shared by the connection (a server thread) and by
-// whoever answers (any thread). A connection is suspended while there is
-// nothing to send, so that no thread waits on it.
-class Answer {
+// The state of one response, shared by the connection (a server thread) and the
+// request handler (any thread). The connection is suspended while there is
+// nothing to send, so that no thread blocks on it.
+class PendingResponse {
  public:
-  // `on_resume` is called after each change that gives libmicrohttpd something
-  // to do; empty when the daemon's own thread looks for it.
-  Answer(MHD_Connection* connection, std::function<void()> on_resume)
+  // `on_resume` is called after each change after which libmicrohttpd must run.
+  // It is empty when the daemon has a thread of its own.
+  PendingResponse(MHD_Connection* connection, std::function<void()> on_resume)
       : connection_(connection), on_resume_(std::move(on_resume)) {}
 
   void Respond(int status, std::vector<Header> headers, std::string body) {
@@ -40,7 +40,7 @@
     status_ = status;
     headers_ = std::move(headers);
     buffer_ = std::move(body);
-    phase_ = Phase::kWhole;
+    phase_ = Phase::kComplete;
     ResumeLocked();
   }
 
@@ -60,14 +60,14 @@
     ResumeLocked();
   }
 
-  void Finish() { End(Phase::kFinished); }
-  void Abort() { End(Phase::kAborted); }
+  void Finish() { EndStream(Phase::kFinished); }
+  void Abort() { EndStream(Phase::kAborted); }
 
   void OnDisconnect(std::function<void()> callback) {
     {
       absl::MutexLock lock(&mutex_);
-      if (!gone_) {
-        on_gone_ = std::move(callback);
+      if (!closed_) {
+        on_disconnect_ = std::move(callback);
         return;
       }
     }
@@ -76,27 +76,27 @@
 
   std::size_t Backlog() const {
     absl::MutexLock lock(&mutex_);
-    return buffer_.size() - taken_;
+    return buffer_.size() - consumed_;
   }
 
   // The remaining functions are called by server threads.
 
-  // The caller has closed its side while its answer is awaited or streamed.
-  // libmicrohttpd doesn't look at a suspended connection.
-  void CallerLeft() {
+  // Calls the OnDisconnect() callback and aborts the response, after the caller
+  // has closed its side. libmicrohttpd doesn't check suspended connections.
+  void Cancel() {
     std::function<void()> callback;
     {
       absl::MutexLock lock(&mutex_);
-      callback = std::move(on_gone_);
-      on_gone_ = nullptr;
+      callback = std::move(on_disconnect_);
+      on_disconnect_ = nullptr;
     }
     if (callback) callback();
     Abort();
   }
 
-  // Queues the answer if it has begun, else suspends the connection until it
-  // does.
-  MHD_Result QueueOrSuspend(const std::shared_ptr<Answer>& self) {
+  // Queues the response if it has started; otherwise suspends the connection
+  // until it does.
+  MHD_Result QueueOrSuspend(const std::shared_ptr<PendingResponse>& self) {
     absl::MutexLock lock(&mutex_);
     if (phase_ == Phase::kWaiting) {
       SuspendLocked();
@@ -104,14 +104,15 @@
     }
     if (phase_ == Phase::kAborted) return MHD_NO;
     MHD_Response* response = nullptr;
-    if (phase_ == Phase::kWhole) {
+    if (phase_ == Phase::kComplete) {
       response = MHD_create_response_from_buffer(buffer_.size(), buffer_.data(),
                                                  MHD_RESPMEM_MUST_COPY);
     } else {
-      // The reader keeps the answer alive until libmicrohttpd frees it.
+      // The reader keeps this object alive until libmicrohttpd frees it.
       response = MHD_create_response_from_callback(
-          MHD_SIZE_UNKNOWN, kStreamBlockBytes, &Answer::Read,
-          new std::shared_ptr<Answer>(self), &Answer::FreeReader);
+          MHD_SIZE_UNKNOWN, kStreamBlockBytes, &PendingResponse::Read,
+          new std::shared_ptr<PendingResponse>(self),
+          &PendingResponse::FreeReader);
     }
     for (const Header& header : headers_) {
       MHD_add_response_header(response, header.name.c_str(),
@@ -123,27 +124,28 @@
     return queued;
   }
 
-  // The connection is over, `complete` when the whole answer was sent.
+  // Records that the request has ended. `complete`: the whole response was
+  // sent; otherwise the OnDisconnect() callback is called.
   void Close(bool complete) {
     std::function<void()> callback;
     {
       absl::MutexLock lock(&mutex_);
-      gone_ = true;
+      closed_ = true;
       suspended_ = false;
-      if (!complete) callback = std::move(on_gone_);
-      on_gone_ = nullptr;
+      if (!complete) callback = std::move(on_disconnect_);
+      on_disconnect_ = nullptr;
     }
     if (callback) callback();
   }
 
  private:
-  enum class Phase { kWaiting, kWhole, kStreaming, kFinished, kAborted };
+  enum class Phase { kWaiting, kComplete, kStreaming, kFinished, kAborted };
 
-  void End(Phase phase) {
+  void EndStream(Phase phase) {
     absl::MutexLock lock(&mutex_);
-    const bool unanswered =
+    const bool not_started =
         phase_ == Phase::kWaiting && phase == Phase::kAborted;
-    if (phase_ != Phase::kStreaming && !unanswered) {
+    if (phase_ != Phase::kStreaming && !not_started) {
       return;
     }
     phase_ = phase;
@@ -157,18 +159,18 @@
   }
 
   void ResumeLocked() {
-    if (!suspended_ || gone_) return;
+    if (!suspended_ || closed_) return;
     suspended_ = false;
     MHD_resume_connection(connection_);
     if (on_resume_) on_resume_();
   }
 
   static ssize_t Read(void* closure, std::uint64_t /*position*/, char* out,
-                      std::size_t room) {
-    auto& self = *static_cast<std::shared_ptr<Answer>*>(closure);
+                      std::size_t capacity) {
+    auto& self = *static_cast<std::shared_ptr<PendingResponse>*>(closure);
     absl::MutexLock lock(&self->mutex_);
-    std::size_t ready = self->buffer_.size() - self->taken_;
-    if (ready == 0) {
+    std::size_t available = self->buffer_.size() - self->consumed_;
+    if (available == 0) {
       if (self->phase_ == Phase::kFinished) {
         return MHD_CONTENT_READER_END_OF_STREAM;
       }
@@ -178,18 +180,18 @@
       self->SuspendLocked();
       return 0;
     }
-    std::size_t count = std::min(room, ready);
-    std::memcpy(out, self->buffer_.data() + self->taken_, count);
-    self->taken_ += count;
-    if (self->taken_ == self->buffer_.size()) {
+    std::size_t count = std::min(capacity, available);
+    std::memcpy(out, self->buffer_.data() + self->consumed_, count);
+    self->consumed_ += count;
+    if (self->consumed_ == self->buffer_.size()) {
       self->buffer_.clear();
-      self->taken_ = 0;
+      self->consumed_ = 0;
     }
     return static_cast<ssize_t>(count);
   }
 
   static void FreeReader(void* closure) {
-    delete static_cast<std::shared_ptr<Answer>*>(closure);
+    delete static_cast<std::shared_ptr<PendingResponse>*>(closure);
   }
 
   mutable absl::Mutex mutex_;
@@ -197,14 +199,14 @@
   const std::function<void()> on_resume_;
   Phase phase_ = Phase::kWaiting;
   bool suspended_ = false;
-  bool gone_ = false;
+  bool closed_ = false;
   int status_ = 500;
   std::vector<Header> headers_;
   std::string buffer_;
-  std::size_t taken_ = 0;
-  std::function<void()> on_gone_;
+  std::size_t consumed_ = 0;
+  std::function<void()> on_disconnect_;
 };
 
 }  // namespace gentianlb::http
 
-#endif  // GENTIANLB_HTTP_ANSWER_H_
+#endif  // GENTIANLB_HTTP_PENDING_RESPONSE_H_
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -16,56 +16,57 @@
 #include "absl/strings/match.h"
 #include "absl/strings/string_view.h"
 #include "absl/synchronization/mutex.h"
-#include "http/answer.h"
 #include "http/framing.h"
 #include "http/loop_connections.h"
+#include "http/pending_response.h"
 
 namespace gentianlb::http {
 namespace {
 
-// libmicrohttpd looks for connections that were idle for too long only when it
-// is run; its timeouts are whole seconds.
-constexpr absl::Duration kIdleSweep = absl::Seconds(1);
+// libmicrohttpd closes idle connections only when it is run; its timeouts are
+// whole seconds.
+constexpr absl::Duration kIdleSweepInterval = absl::Seconds(1);
 
-// Callers that may wait to be accepted while the loop is busy. A full queue
-// costs a caller a second, until it sends its opening packet again.
+// Connections that may wait to be accepted while the loop is busy. With a full
+// queue, a caller waits a second until it retransmits its SYN packet.
 constexpr unsigned kListenBacklog = 512;
 
-// What the handler holds. Its end without an answer breaks the connection.
-class AnswerHandle : public Responder {
+// The Responder that a handler holds. Its destructor aborts the connection if
+// the response isn't complete.
+class ResponderHandle : public Responder {
  public:
-  explicit AnswerHandle(std::shared_ptr<Answer> answer)
-      : answer_(std::move(answer)) {}
-  ~AnswerHandle() override { answer_->Abort(); }
+  explicit ResponderHandle(std::shared_ptr<PendingResponse> response)
+      : response_(std::move(response)) {}
+  ~ResponderHandle() override { response_->Abort(); }
 
   void Respond(int status, std::vector<Header> headers,
                std::string body) override {
-    answer_->Respond(status, std::move(headers), std::move(body));
+    response_->Respond(status, std::move(headers), std::move(body));
   }
   void Begin(int status, std::vector<Header> headers) override {
-    answer_->Begin(status, std::move(headers));
+    response_->Begin(status, std::move(headers));
   }
-  void Write(std::string_view bytes) override { answer_->Write(bytes); }
-  void Finish() override { answer_->Finish(); }
-  void Abort() override { answer_->Abort(); }
+  void Write(std::string_view bytes) override { response_->Write(bytes); }
+  void Finish() override { response_->Finish(); }
+  void Abort() override { response_->Abort(); }
   void OnDisconnect(std::function<void()> callback) override {
-    answer_->OnDisconnect(std::move(callback));
+    response_->OnDisconnect(std::move(callback));
   }
-  std::size_t Backlog() const override { return answer_->Backlog(); }
+  std::size_t Backlog() const override { return response_->Backlog(); }
 
  private:
-  std::shared_ptr<Answer> answer_;
+  std::shared_ptr<PendingResponse> response_;
 };
 
-// One request while it arrives.
+// A request and its response.
 struct Exchange {
   Request request;
   std::size_t header_bytes = 0;
-  bool begun = false;
+  bool started = false;
   bool too_large = false;
-  bool caller_left = false;
-  bool handed_over = false;
-  std::shared_ptr<Answer> answer;
+  bool caller_disconnected = false;
+  bool dispatched = false;
+  std::shared_ptr<PendingResponse> response;
 };
 
 MHD_Result CollectHeader(void* closure, MHD_ValueKind, const char* name,
@@ -77,12 +78,12 @@
   return MHD_YES;
 }
 
-// Percent-encodes all but letters, digits and `plain`.
-std::string Encode(std::string_view text, std::string_view plain) {
+// Percent-encodes all characters but letters, digits and `unescaped`.
+std::string Encode(std::string_view text, std::string_view unescaped) {
   constexpr char kDigits[] = "0123456789ABCDEF";
   std::string encoded;
   for (char c : text) {
-    if (absl::ascii_isalnum(c) || plain.find(c) != std::string_view::npos) {
+    if (absl::ascii_isalnum(c) || unescaped.find(c) != std::string_view::npos) {
       encoded += c;
       continue;
     }
@@ -157,91 +158,95 @@
 struct Server::Impl {
   ServerLimits limits;
   loop::EventLoop* loop = nullptr;
-  TimerId sweep = 0;
+  TimerId idle_sweep_timer = 0;
   bool run_pending = false;
   bool stopped_accepting = false;
   std::shared_ptr<int> alive = std::make_shared<int>(0);
-  std::unique_ptr<LoopConnections> connections;  // With a loop.
+  std::unique_ptr<LoopConnections> connections;  // Set with `loop`.
   Handler handler;
   MHD_Daemon* daemon = nullptr;
   std::uint16_t port = 0;
   std::atomic<int> quiesced_socket = -1;
   absl::Mutex mutex;
   bool closing ABSL_GUARDED_BY(mutex) = false;
-  std::set<std::shared_ptr<Answer>> open_answers ABSL_GUARDED_BY(mutex);
+  std::set<std::shared_ptr<PendingResponse>> open_responses
+      ABSL_GUARDED_BY(mutex);
 
-  // False when the server is closing.
-  bool Open(const std::shared_ptr<Answer>& answer) {
+  // Registers an open response; returns false when the server is closing.
+  bool Open(const std::shared_ptr<PendingResponse>& response) {
     absl::MutexLock lock(&mutex);
     if (closing) return false;
-    open_answers.insert(answer);
+    open_responses.insert(response);
     return true;
   }
 
-  void Close(const std::shared_ptr<Answer>& answer, bool complete) {
+  void Close(const std::shared_ptr<PendingResponse>& response, bool complete) {
     {
       absl::MutexLock lock(&mutex);
-      open_answers.erase(answer);
+      open_responses.erase(response);
     }
-    answer->Close(complete);
+    response->Close(complete);
   }
 
-  // libmicrohttpd ends the whole process when it is stopped while a connection
-  // is suspended, as each is that waits for its answer. Aborting an answer
-  // wakes its connection, and an aborted one is never suspended again.
+  // Aborts all open responses. libmicrohttpd terminates the process if it is
+  // stopped while a connection is suspended, as every connection with a pending
+  // response is. An aborted response resumes its connection and never suspends
+  // it again.
   void AbortAll() {
-    std::set<std::shared_ptr<Answer>> taken;
+    std::set<std::shared_ptr<PendingResponse>> responses;
     {
       absl::MutexLock lock(&mutex);
       closing = true;
-      taken.swap(open_answers);
+      responses.swap(open_responses);
     }
-    for (const auto& answer : taken) answer->Abort();
+    for (const auto& response : responses) response->Abort();
   }
 
   MHD_Result Receive(MHD_Connection* connection, const char* method,
                      const char* path, const char* upload,
-                     std::size_t* upload_size, void** slot) {
-    // First call of a request: only its headers are there.
-    auto& exchange = *static_cast<Exchange*>(*slot);
-    if (!exchange.begun) {
+                     std::size_t* upload_size, void** context) {
+    // First call for a request: only its headers have arrived.
+    auto& exchange = *static_cast<Exchange*>(*context);
+    if (!exchange.started) {
       BeginExchange(connection, method, path, exchange);
       return RefuseMalformed(exchange);
     }
-    // Later calls: a block of the body, or the end of it.
+    // Later calls: a block of the body, or its end.
     if (*upload_size > 0) {
       AppendBody(exchange, std::string_view(upload, *upload_size));
       *upload_size = 0;
       return MHD_YES;
     }
-    if (!exchange.handed_over) HandOver(exchange);
-    return exchange.answer->QueueOrSuspend(exchange.answer);
+    if (!exchange.dispatched) Dispatch(exchange);
+    return exchange.response->QueueOrSuspend(exchange.response);
   }
 
   void BeginExchange(MHD_Connection* connection, const char* method,
                      const char* path, Exchange& exchange) {
-    exchange.begun = true;
+    exchange.started = true;
     exchange.request.method = method;
     exchange.request.path = path;
     std::function<void()> on_resume;
-    if (loop != nullptr) on_resume = [this] { RunSoon(); };
-    exchange.answer =
-        std::make_shared<Answer>(connection, std::move(on_resume));
+    if (loop != nullptr) on_resume = [this] { ScheduleRun(); };
+    exchange.response =
+        std::make_shared<PendingResponse>(connection, std::move(on_resume));
     MHD_get_connection_values(connection, MHD_HEADER_KIND, &CollectHeader,
                               &exchange);
     if (connections == nullptr) return;
-    exchange.caller_left = !connections->Awaits(connection, exchange.answer);
+    exchange.caller_disconnected =
+        !connections->SetPendingResponse(connection, exchange.response);
   }
 
-  // An answer before the body is read makes libmicrohttpd close the connection
-  // after it, so that nothing of the doubtful rest is taken for a request.
+  // Refuses a request with ambiguous headers. Because the response is queued
+  // before the body is read, libmicrohttpd closes the connection afterwards, so
+  // that the ambiguous rest is not read as a request.
   MHD_Result RefuseMalformed(Exchange& exchange) {
     const std::string_view problem = FramingProblem(exchange.request.headers);
     if (problem.empty()) return MHD_YES;
-    exchange.handed_over = true;
-    AnswerHandle responder(exchange.answer);
+    exchange.dispatched = true;
+    ResponderHandle responder(exchange.response);
     RespondProblem(responder, {Code::kMalformedRequest, std::string(problem)});
-    return exchange.answer->QueueOrSuspend(exchange.answer);
+    return exchange.response->QueueOrSuspend(exchange.response);
   }
 
   void AppendBody(Exchange& exchange, std::string_view block) const {
@@ -252,13 +257,13 @@
     if (!exchange.too_large) exchange.request.body.append(block);
   }
 
-  void HandOver(Exchange& exchange) {
-    exchange.handed_over = true;
-    if (exchange.caller_left || !Open(exchange.answer)) {
-      exchange.answer->Abort();
+  void Dispatch(Exchange& exchange) {
+    exchange.dispatched = true;
+    if (exchange.caller_disconnected || !Open(exchange.response)) {
+      exchange.response->Abort();
       return;
     }
-    auto responder = std::make_shared<AnswerHandle>(exchange.answer);
+    auto responder = std::make_shared<ResponderHandle>(exchange.response);
     if (exchange.too_large) {
       RespondProblem(*responder,
                      {Code::kBodyTooLarge,
@@ -276,44 +281,47 @@
     handler(std::move(exchange.request), std::move(responder));
   }
 
-  // Runs the daemon whenever one of its connections has something to do.
-  void Join() {
+  // Makes the loop run the daemon when one of its connections has events, and
+  // periodically to close idle connections.
+  void AttachToLoop() {
     const MHD_DaemonInfo* info =
         MHD_get_daemon_info(daemon, MHD_DAEMON_INFO_EPOLL_FD);
-    loop->Watch(info->epoll_fd, EPOLLIN, [this](std::uint32_t) { Run(); });
-    sweep = loop->timers().Every(loop->now() + kIdleSweep, kIdleSweep,
-                                 [this](absl::Time) { Run(); });
+    loop->Watch(info->epoll_fd, EPOLLIN,
+                [this](std::uint32_t) { RunDaemon(); });
+    idle_sweep_timer = loop->timers().Every(
+        loop->now() + kIdleSweepInterval, kIdleSweepInterval,
+        [this](absl::Time) { RunDaemon(); });
   }
 
-  // libmicrohttpd may come back with connections that are ready for more, and
-  // then its descriptor says nothing: a timeout of zero does. Without another
-  // run such a request lay unread until something else happened, and on a host
-  // that drained, with no other traffic, for up to a second.
-  void Run() {
+  // Runs the daemon, and schedules another run if connections still have work.
+  // libmicrohttpd reports that by a zero timeout, not by an event on its
+  // descriptor. Without another run, a pipelined request stays unread until the
+  // next event, up to a second on a draining host without other traffic.
+  void RunDaemon() {
     MHD_run(daemon);
     MHD_UNSIGNED_LONG_LONG timeout = 0;
-    const bool more = MHD_get_timeout(daemon, &timeout) == MHD_YES;
-    if (more && timeout == 0) RunSoon();
+    const bool has_more = MHD_get_timeout(daemon, &timeout) == MHD_YES;
+    if (has_more && timeout == 0) ScheduleRun();
   }
 
-  // Once for all answers that have something to send after this round of
-  // events. The daemon's own wake-up would come a round later.
-  void RunSoon() {
+  // Schedules one run of the daemon for all responses that have data to send
+  // after this round of events. The daemon's own wake-up comes a round later.
+  void ScheduleRun() {
     if (run_pending) return;
     run_pending = true;
     loop->Defer([this, alive = std::weak_ptr<int>(alive)] {
       if (alive.expired()) return;
       run_pending = false;
-      Run();
+      RunDaemon();
     });
   }
 
-  void Leave() {
+  void DetachFromLoop() {
     if (daemon == nullptr) return;
     const MHD_DaemonInfo* info =
         MHD_get_daemon_info(daemon, MHD_DAEMON_INFO_EPOLL_FD);
     loop->Unwatch(info->epoll_fd);
-    loop->timers().Cancel(sweep);
+    loop->timers().Cancel(idle_sweep_timer);
     AbortAll();
     MHD_run(daemon);
   }
@@ -323,27 +331,28 @@
 
 MHD_Result OnAccess(void* closure, MHD_Connection* connection, const char* path,
                     const char* method, const char* /*version*/,
-                    const char* upload, std::size_t* upload_size, void** slot) {
+                    const char* upload, std::size_t* upload_size,
+                    void** context) {
   return static_cast<Server::Impl*>(closure)->Receive(
-      connection, method, path, upload, upload_size, slot);
+      connection, method, path, upload, upload_size, context);
 }
 
-// Called with the request line, before anything is decoded; what it returns
-// becomes the slot of the request.
+// Called with the request target before it is decoded. The returned Exchange
+// becomes the context of the request.
 void* OnRequestLine(void* /*closure*/, const char* target,
                     MHD_Connection* /*connection*/) {
   auto exchange = std::make_unique<Exchange>();
   exchange->request.target = target;
-  const char* question = std::strchr(target, '?');
-  if (question != nullptr) exchange->request.query = question + 1;
+  const char* question_mark = std::strchr(target, '?');
+  if (question_mark != nullptr) exchange->request.query = question_mark + 1;
   return exchange.release();
 }
 
-// libmicrohttpd closes a connection whose message did not arrive in time
-// without a word, and the client could not tell that from a crash. Its socket
-// is still open here and nothing was written to it yet, so that the refusal can
-// be sent as a last, whole answer. Not over TLS, where the library owns the
-// stream: there the connection just closes.
+// Sends a refusal to a caller whose message did not arrive in time.
+// libmicrohttpd closes such a connection without a response, which the client
+// can't tell from a crash. The socket is still open here and nothing was
+// written to it, so a complete response can be sent. Not over TLS, where the
+// library owns the stream: there the connection just closes.
 void RefuseSlowMessage(MHD_Connection* connection) {
   if (MHD_get_connection_info(connection, MHD_CONNECTION_INFO_GNUTLS_SESSION) !=
       nullptr) {
@@ -354,37 +363,37 @@
   if (info == nullptr) return;
   std::string body =
       ProblemBody({Code::kRequestTooSlow, "the message is not complete"});
-  std::string answer =
+  std::string response =
       "HTTP/1.1 408 Request Timeout\r\n"
       "Content-Type: application/problem+json\r\n"
       "Connection: close\r\n"
       "Content-Length: " +
       std::to_string(body.size()) + "\r\n\r\n" + body;
-  send(info->connect_fd, answer.data(), answer.size(),
+  send(info->connect_fd, response.data(), response.size(),
        MSG_DONTWAIT | MSG_NOSIGNAL);
 }
 
-void OnCompleted(void* closure, MHD_Connection* connection, void** slot,
-                 MHD_RequestTerminationCode why) {
-  std::unique_ptr<Exchange> exchange(static_cast<Exchange*>(*slot));
-  *slot = nullptr;
+void OnCompleted(void* closure, MHD_Connection* connection, void** context,
+                 MHD_RequestTerminationCode reason) {
+  std::unique_ptr<Exchange> exchange(static_cast<Exchange*>(*context));
+  *context = nullptr;
   if (exchange == nullptr) return;
-  bool slow = why == MHD_REQUEST_TERMINATED_TIMEOUT_REACHED;
-  if (slow && !exchange->handed_over) RefuseSlowMessage(connection);
-  if (exchange->answer == nullptr) return;
+  bool slow = reason == MHD_REQUEST_TERMINATED_TIMEOUT_REACHED;
+  if (slow && !exchange->dispatched) RefuseSlowMessage(connection);
+  if (exchange->response == nullptr) return;
   static_cast<Server::Impl*>(closure)->Close(
-      exchange->answer, why == MHD_REQUEST_TERMINATED_COMPLETED_OK);
+      exchange->response, reason == MHD_REQUEST_TERMINATED_COMPLETED_OK);
 }
 
 void OnConnection(void* closure, MHD_Connection* connection,
                   void** /*socket_context*/,
-                  MHD_ConnectionNotificationCode what) {
+                  MHD_ConnectionNotificationCode event) {
   LoopConnections& connections =
       *static_cast<Server::Impl*>(closure)->connections;
-  if (what == MHD_CONNECTION_NOTIFY_STARTED) {
-    connections.Opened(connection);
+  if (event == MHD_CONNECTION_NOTIFY_STARTED) {
+    connections.OnOpened(connection);
   } else {
-    connections.Closed(connection);
+    connections.OnClosed(connection);
   }
 }
 
@@ -393,7 +402,7 @@
 Server::Server(std::unique_ptr<Impl> impl) : impl_(std::move(impl)) {}
 
 Server::~Server() {
-  if (impl_->loop != nullptr) impl_->Leave();
+  if (impl_->loop != nullptr) impl_->DetachFromLoop();
   int quiesced = impl_->quiesced_socket.load();
   if (quiesced >= 0) close(quiesced);
   impl_->AbortAll();
@@ -410,7 +419,7 @@
   address.sin_family = AF_INET;
   address.sin_port = htons(settings.port);
   if (inet_pton(AF_INET, settings.address.c_str(), &address.sin_addr) != 1) {
-    return Error{Code::kOutOfRange, "not an IP number: " + settings.address};
+    return Error{Code::kOutOfRange, "not an IPv4 address: " + settings.address};
   }
 
   unsigned flags = MHD_ALLOW_SUSPEND_RESUME | MHD_USE_ITC |
@@ -429,10 +438,10 @@
       static_cast<std::intptr_t>(settings.limits.max_connections), nullptr);
   add(MHD_OPTION_CONNECTION_TIMEOUT,
       absl::ToInt64Seconds(settings.limits.idle_timeout), nullptr);
-  // Room for the headers that are within the limit, and some to see excess.
-  // libmicrohttpd clears all of it after each request, so that every connection
-  // costs the whole: at 70 KB each, a host with 1,500 callers in an overload
-  // reached 106 MB, where some hosts have 110.
+  // The header limit, and some more to detect headers that exceed it.
+  // libmicrohttpd clears the whole buffer after each request, so each
+  // connection uses all of it: with 70 KB each, 1,500 callers in an overload
+  // take 106 MB, and some hosts have 110 MB.
   add(MHD_OPTION_CONNECTION_MEMORY_LIMIT,
       static_cast<std::intptr_t>(settings.limits.max_header_bytes + 4096),
       nullptr);
@@ -463,7 +472,7 @@
   const MHD_DaemonInfo* info =
       MHD_get_daemon_info(impl->daemon, MHD_DAEMON_INFO_BIND_PORT);
   impl->port = info->port;
-  if (impl->loop != nullptr) impl->Join();
+  if (impl->loop != nullptr) impl->AttachToLoop();
   return std::unique_ptr<Server>(new Server(std::move(impl)));
 }
 
@@ -473,8 +482,8 @@
   if (impl_->quiesced_socket.load() >= 0 || impl_->stopped_accepting) return;
   impl_->quiesced_socket = MHD_quiesce_daemon(impl_->daemon);
   if (impl_->loop == nullptr) return;
-  // Open, it would go on queueing callers whom nobody accepts. Closed, they get
-  // a refusal at once and go to another host.
+  // An open socket would keep queueing callers that are never accepted. With
+  // the socket closed, they are refused at once and go to another host.
   close(impl_->quiesced_socket.exchange(-1));
   impl_->stopped_accepting = true;
 }
