--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -13,9 +13,8 @@
 namespace gentianlb::http {
 namespace {
 
-// How long the thread sleeps at most when nothing happens; a new transfer or a
-// cancellation wakes it at once.
-constexpr int kPollMilliseconds = 1000;
+// Maximum sleep of the thread. New transfers and cancellations wake it at once.
+constexpr int kMaxPollMilliseconds = 1000;
 
 }  // namespace
 
@@ -37,37 +36,37 @@
 
   void Run() {
     while (true) {
-      std::vector<Command> taken;
+      std::vector<Command> pending;
       {
         absl::MutexLock lock(&mutex);
         if (stopping) break;
-        taken.swap(commands);
+        pending.swap(commands);
       }
-      for (Command& command : taken) Execute(std::move(command));
+      for (Command& command : pending) Execute(std::move(command));
       int running = 0;
       curl_multi_perform(multi, &running);
-      CollectEnded();
-      EndSilent();
-      curl_multi_poll(multi, nullptr, 0, PollTime(), nullptr);
+      CollectFinished();
+      EndInactive();
+      curl_multi_poll(multi, nullptr, 0, PollMilliseconds(), nullptr);
     }
     while (!transfers.empty()) {
-      End(transfers.begin()->first, TransferEnd::kCancelled, "stopped");
+      EndTransfer(transfers.begin()->first, TransferEnd::kCancelled, "stopped");
     }
   }
 
-  int PollTime() const {
-    auto silent =
+  int PollMilliseconds() const {
+    auto inactive =
         std::find_if(transfers.begin(), transfers.end(), [](const auto& entry) {
           return entry.second->request().inactivity_timeout <
                  absl::InfiniteDuration();
         });
-    return silent == transfers.end() ? kPollMilliseconds
-                                     : kPollMilliseconds / 10;
+    return inactive == transfers.end() ? kMaxPollMilliseconds
+                                       : kMaxPollMilliseconds / 10;
   }
 
   void Execute(Command command) {
     if (command.start == nullptr) {
-      End(command.id, TransferEnd::kCancelled, "cancelled");
+      EndTransfer(command.id, TransferEnd::kCancelled, "cancelled");
       return;
     }
     command.start->Prepare();
@@ -75,35 +74,36 @@
     transfers[command.id] = std::move(command.start);
   }
 
-  void CollectEnded() {
-    int left = 0;
-    while (CURLMsg* message = curl_multi_info_read(multi, &left)) {
+  void CollectFinished() {
+    int remaining = 0;
+    while (CURLMsg* message = curl_multi_info_read(multi, &remaining)) {
       if (message->msg != CURLMSG_DONE) continue;
       Transfer* transfer = nullptr;
       curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &transfer);
       const CURLcode code = message->data.result;
       const TransferEnd end = transfer->Finish(code);
-      End(transfer->id, end, curl_easy_strerror(code));
+      EndTransfer(transfer->id, end, curl_easy_strerror(code));
     }
   }
 
-  // A frozen peer keeps its connection open and says nothing; without this the
-  // transfer would wait for ever.
-  void EndSilent() {
+  // Ends transfers that exceed their inactivity timeout. A frozen server keeps
+  // its connection open and sends nothing, so such a transfer would never end.
+  void EndInactive() {
     absl::Time now = absl::Now();
-    std::vector<TransferId> silent;
+    std::vector<TransferId> inactive;
     for (const auto& [id, transfer] : transfers) {
-      if (now - transfer->last_byte() >
+      if (now - transfer->last_byte_time() >
           transfer->request().inactivity_timeout) {
-        silent.push_back(id);
+        inactive.push_back(id);
       }
     }
-    for (TransferId id : silent) {
-      End(id, TransferEnd::kTimedOut, "no byte within the silence limit");
+    for (TransferId id : inactive) {
+      EndTransfer(id, TransferEnd::kTimedOut,
+                  "no byte within the silence limit");
     }
   }
 
-  void End(TransferId id, TransferEnd end, std::string detail) {
+  void EndTransfer(TransferId id, TransferEnd end, std::string detail) {
     auto found = transfers.find(id);
     if (found == transfers.end()) return;
     std::unique_ptr<Transfer> transfer = std::move(found->second);
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,5 +1,5 @@
-// An HTTP/1.1 client over libcurl's multi interface: one thread of its own that
-// runs any number of transfers; answers arrive as they stream in.
+// An HTTP/1.1 client over libcurl's multi interface. One thread runs any number
+// of transfers and passes on responses as they stream in.
 
 #ifndef GENTIANLB_HTTP_CLIENT_H_
 #define GENTIANLB_HTTP_CLIENT_H_
@@ -16,27 +16,28 @@
 
 namespace gentianlb::http {
 
-// Names one transfer of one client.
+// Identifies a transfer within its client.
 using TransferId = std::uint64_t;
 
 // How a transfer ended.
 enum class TransferEnd {
-  kComplete,   // The whole answer arrived.
-  kNotSent,    // Certain: no byte of the request left this host.
+  kComplete,   // The whole response arrived.
+  kNotSent,    // No byte of the request left this host.
   kBroken,     // The connection broke after it was made.
-  kTimedOut,   // `timeout` or `silence` passed.
+  kTimedOut,   // `timeout` or `inactivity_timeout` passed.
   kCancelled,  // Cancel() was called.
 };
 
-// On which connection a request goes, and whether libcurl may send it again by
-// itself when a reused connection turns out to be dead.
+// The connection that a request is sent on, and whether libcurl may resend it
+// when a reused connection turns out to be dead.
 enum class SendPolicy {
-  kAllowResend,      // On a kept connection; may be sent again.
-  kNoResend,         // On a kept connection; such a transfer ends as kBroken.
-  kFreshConnection,  // On a new connection that is closed after it.
+  kAllowResend,      // On a kept connection; libcurl may resend.
+  kNoResend,         // On a kept connection; ends as kBroken if that is dead.
+  kFreshConnection,  // On a new connection that is closed afterwards.
 };
 
-// What the reader of an answer wants after its head.
+// Whether to read the body of a response after its head, or to end the
+// transfer.
 enum class ReadAction { kContinue, kStop };
 
 struct ClientRequest {
@@ -48,25 +49,25 @@
   std::string body;
   absl::Duration connect_timeout = absl::Seconds(1);
   absl::Duration timeout = absl::InfiniteDuration();  // For the whole transfer.
-  absl::Duration inactivity_timeout =
-      absl::InfiniteDuration();  // Without any byte.
+  // Maximum time without any received byte.
+  absl::Duration inactivity_timeout = absl::InfiniteDuration();
 
   SendPolicy send_policy = SendPolicy::kAllowResend;
-  // A kept connection that was idle for longer is not used again.
+  // Kept connections that were idle for longer are not reused.
   absl::Duration max_connection_idle = absl::InfiniteDuration();
 
-  std::string ca_file;  // Checks the peer's certificate against it, for https.
+  std::string ca_file;  // For https: verifies the server's certificate.
 };
 
-// What comes back; called from the client's thread, in this order. Must not
-// block.
+// Callbacks for a response, called in this order from the client's thread. They
+// must not block.
 struct TransferSink {
   std::function<ReadAction(int status, std::vector<Header> headers)> on_head;
   std::function<void(std::string_view bytes)> on_data;
   std::function<void(TransferEnd end, std::string detail)> on_end;
 };
 
-// A whole answer, for callers that need no stream.
+// A buffered response, for callers that don't stream.
 struct Reply {
   TransferEnd end = TransferEnd::kNotSent;
   int status = 0;
@@ -75,28 +76,31 @@
   std::string detail;
 };
 
-// Collects an answer and calls `done` at its end.
+// Returns a sink that buffers the response and calls `done` when the transfer
+// ends.
 TransferSink CollectReply(std::function<void(Reply)> done);
 
 class Client {
  public:
   Client();
-  ~Client();  // Stops.
+  ~Client();  // Calls Stop().
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  // Ends all transfers as kCancelled, and the thread. Later ones never start.
-  // Whoever owns what the sinks refer to calls it before that is destroyed.
+  // Ends all transfers as kCancelled and joins the thread. Later transfers
+  // never start. Must be called before anything that the sinks refer to is
+  // destroyed.
   void Stop();
 
   // Thread-safe.
   TransferId Start(ClientRequest request, TransferSink sink);
   void Cancel(TransferId id);
 
-  // Collects the answer and calls `done` from the client's thread.
+  // Buffers the response and calls `done` from the client's thread.
   TransferId Fetch(ClientRequest request, std::function<void(Reply)> done);
 
-  // Waits for the answer; for command-line tools and tests only.
+  // Blocks until the response is complete; for command-line tools and tests
+  // only.
   Reply FetchAndWait(ClientRequest request);
 
  private:
--- a/src/http/loop_client.cc
+++ b/src/http/loop_client.cc
@@ -7,9 +7,9 @@
 namespace gentianlb::http {
 namespace {
 
-// A handle costs about 5 KB and 20 us to make; more than run at once on a small
-// host are not worth keeping.
-constexpr std::size_t kSpareHandles = 32;
+// A handle takes about 5 KB and 20 us to create. A small host doesn't run more
+// transfers at once.
+constexpr std::size_t kMaxSpareHandles = 32;
 
 std::uint32_t EpollEvents(int what) {
   switch (what) {
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-LoopClient::LoopClient(loop::EventLoop* loop, int kept_connections)
+LoopClient::LoopClient(loop::EventLoop* loop, int max_idle_connections)
     : loop_(loop), multi_([] {
         InitializeCurl(CurlUse::kPlainOnly);
         return curl_multi_init();
@@ -42,7 +42,7 @@
   curl_multi_setopt(multi_, CURLMOPT_TIMERFUNCTION, &OnTimerChange);
   curl_multi_setopt(multi_, CURLMOPT_TIMERDATA, this);
   curl_multi_setopt(multi_, CURLMOPT_MAXCONNECTS,
-                    static_cast<long>(kept_connections));  // NOLINT
+                    static_cast<long>(max_idle_connections));  // NOLINT
 }
 
 LoopClient::~LoopClient() {
@@ -61,7 +61,7 @@
                                              std::move(sink), NewHandle());
   transfer->Prepare();
   transfers_.emplace(id, std::move(transfer));
-  OutsideCallbacks([this, id] {
+  RunOutsideCallbacks([this, id] {
     const auto found = transfers_.find(id);
     if (found == transfers_.end()) return;  // Cancelled meanwhile.
     curl_multi_add_handle(multi_, found->second->handle());
@@ -69,12 +69,13 @@
   return id;
 }
 
-// libcurl takes no new transfer, and gives none up, while it calls back.
-void LoopClient::OutsideCallbacks(std::function<void()> change) {
-  if (inside_) {
-    loop_->Defer(std::move(change));
+// Runs `closure` at once, or after the current libcurl callback: libcurl can't
+// add or remove transfers within a callback.
+void LoopClient::RunOutsideCallbacks(std::function<void()> closure) {
+  if (in_callback_) {
+    loop_->Defer(std::move(closure));
   } else {
-    change();
+    closure();
   }
 }
 
@@ -83,7 +84,7 @@
   if (found == transfers_.end()) return;
   std::shared_ptr<Transfer> transfer = std::move(found->second);
   transfers_.erase(found);
-  OutsideCallbacks([this, transfer] {
+  RunOutsideCallbacks([this, transfer] {
     curl_multi_remove_handle(multi_, transfer->handle());
     Recycle(transfer);
   });
@@ -96,12 +97,13 @@
   return handle;
 }
 
-// A transfer may be cancelled from inside one of its own callbacks, so nothing
-// of it is destroyed before libcurl has returned.
+// Destroys `transfer` and keeps its handle for reuse. Deferred, since a
+// transfer may be cancelled from one of its own callbacks and must live until
+// libcurl returns.
 void LoopClient::Recycle(std::shared_ptr<Transfer> transfer) {
-  loop_->Defer([this, kept = std::move(transfer)] {
-    CURL* handle = kept->ReleaseHandle();
-    if (spare_handles_.size() >= kSpareHandles) {
+  loop_->Defer([this, finished = std::move(transfer)] {
+    CURL* handle = finished->ReleaseHandle();
+    if (spare_handles_.size() >= kMaxSpareHandles) {
       curl_easy_cleanup(handle);
       return;
     }
@@ -119,7 +121,7 @@
   }
   self.loop_->Watch(socket, EpollEvents(what),
                     [&self, socket](std::uint32_t events) {
-                      self.Act(socket, CurlEvents(events));
+                      self.RunSocketAction(socket, CurlEvents(events));
                     });
   return 0;
 }
@@ -130,8 +132,8 @@
   return 0;
 }
 
-// -1 means none. libcurl must not be entered again from here, so even 0 waits
-// for the loop.
+// Sets libcurl's timer; -1 removes it. libcurl must not be called from its own
+// callback, so a timeout of 0 also waits for the loop.
 void LoopClient::SetTimer(std::int64_t milliseconds) {
   loop_->timers().Cancel(timer_);
   timer_ = 0;
@@ -139,36 +141,37 @@
   const absl::Time due = loop::SteadyNow() + absl::Milliseconds(milliseconds);
   timer_ = loop_->timers().At(due, [this](absl::Time) {
     timer_ = 0;
-    Act(CURL_SOCKET_TIMEOUT, 0);
+    RunSocketAction(CURL_SOCKET_TIMEOUT, 0);
   });
 }
 
-void LoopClient::Act(curl_socket_t socket, int events) {
+void LoopClient::RunSocketAction(curl_socket_t socket, int events) {
   int running = 0;
-  inside_ = true;
+  in_callback_ = true;
   curl_multi_socket_action(multi_, socket, events, &running);
-  inside_ = false;
-  CollectEnded();
+  in_callback_ = false;
+  CollectFinished();
 }
 
-void LoopClient::CollectEnded() {
-  int left = 0;
-  while (CURLMsg* message = curl_multi_info_read(multi_, &left)) {
+void LoopClient::CollectFinished() {
+  int remaining = 0;
+  while (CURLMsg* message = curl_multi_info_read(multi_, &remaining)) {
     if (message->msg != CURLMSG_DONE) continue;
     Transfer* transfer = nullptr;
     curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &transfer);
-    End(transfer->id, message->data.result);
+    EndTransfer(transfer->id, message->data.result);
   }
 }
 
-void LoopClient::End(TransferId id, CURLcode code) {
+void LoopClient::EndTransfer(TransferId id, CURLcode code) {
   const auto found = transfers_.find(id);
   if (found == transfers_.end()) return;
   std::shared_ptr<Transfer> transfer = std::move(found->second);
   transfers_.erase(found);
-  long made = 0;  // NOLINT: libcurl's own type
-  curl_easy_getinfo(transfer->handle(), CURLINFO_NUM_CONNECTS, &made);
-  connections_ += static_cast<std::uint64_t>(made);
+  long new_connections = 0;  // NOLINT: libcurl's own type
+  curl_easy_getinfo(transfer->handle(), CURLINFO_NUM_CONNECTS,
+                    &new_connections);
+  connections_made_ += static_cast<std::uint64_t>(new_connections);
   const TransferEnd end = transfer->Finish(code);
   curl_multi_remove_handle(multi_, transfer->handle());
   std::function<void(TransferEnd, std::string)> on_end =
--- a/src/http/loop_client.h
+++ b/src/http/loop_client.h
@@ -1,5 +1,5 @@
-// The HTTP/1.1 client of a host that does everything on one event loop. It
-// keeps connections for later requests and the handles of ended transfers.
+// An HTTP/1.1 client over libcurl that runs on an event loop. It keeps idle
+// connections and the libcurl handles of finished transfers for reuse.
 
 #ifndef GENTIANLB_HTTP_LOOP_CLIENT_H_
 #define GENTIANLB_HTTP_LOOP_CLIENT_H_
@@ -19,25 +19,25 @@
 
 namespace gentianlb::http {
 
-// Not thread-safe: owned by the loop's thread.
+// Not thread-safe: used by the loop's thread only.
 class LoopClient {
  public:
-  // Keeps up to `kept_connections` idle ones. `loop` outlives the client.
-  LoopClient(loop::EventLoop* loop, int kept_connections);
-  ~LoopClient();  // Transfers that still run end without a word.
+  // Keeps up to `max_idle_connections`. `loop` must outlive the client.
+  LoopClient(loop::EventLoop* loop, int max_idle_connections);
+  ~LoopClient();  // Ends running transfers without calling their sinks.
   LoopClient(const LoopClient&) = delete;
   LoopClient& operator=(const LoopClient&) = delete;
 
   // The sink is never called before this returns.
   TransferId Start(ClientRequest request, TransferSink sink);
 
-  // Ends a transfer without calling its sink. Its connection is closed, which
-  // tells the other side to stop. A no-op when it has ended.
+  // Ends a transfer without calling its sink and closes its connection, so that
+  // the server stops. Does nothing if the transfer has ended.
   void Cancel(TransferId id);
 
   std::size_t running() const { return transfers_.size(); }
-  // Connections made so far.
-  std::uint64_t connections() const { return connections_; }
+  // Number of connections made so far.
+  std::uint64_t connections_made() const { return connections_made_; }
 
  private:
   static int OnSocketChange(CURL* handle, curl_socket_t socket, int what,
@@ -45,21 +45,21 @@
   static int OnTimerChange(CURLM* multi, long milliseconds,  // NOLINT
                            void* closure);
   void SetTimer(std::int64_t milliseconds);
-  void Act(curl_socket_t socket, int events);
-  void CollectEnded();
-  void End(TransferId id, CURLcode code);
+  void RunSocketAction(curl_socket_t socket, int events);
+  void CollectFinished();
+  void EndTransfer(TransferId id, CURLcode code);
   void Recycle(std::shared_ptr<Transfer> transfer);
-  void OutsideCallbacks(std::function<void()> change);
+  void RunOutsideCallbacks(std::function<void()> closure);
   CURL* NewHandle();
 
   loop::EventLoop* const loop_;
   CURLM* const multi_;
   TransferId next_id_ = 1;
   TimerId timer_ = 0;
-  bool inside_ = false;  // libcurl is calling back.
+  bool in_callback_ = false;  // True while libcurl calls back.
   absl::flat_hash_map<TransferId, std::shared_ptr<Transfer>> transfers_;
   std::vector<CURL*> spare_handles_;
-  std::uint64_t connections_ = 0;
+  std::uint64_t connections_made_ = 0;
 };
 
 }  // namespace gentianlb::http
--- a/src/http/transfer.cc
+++ b/src/http/transfer.cc
@@ -13,18 +13,20 @@
 namespace gentianlb::http {
 namespace {
 
-// Answers are events and small documents; libcurl's own default of 16 KiB for
-// each running transfer is memory that hundreds of streams never use.
+// Responses are events and small documents; libcurl's default of 16 KiB per
+// running transfer would waste memory over hundreds of streams.
 constexpr long kReceiveBufferBytes = 4096;    // NOLINT: libcurl's own type
-constexpr long kSendBufferBytes = 16 * 1024;  // NOLINT: its least
+constexpr long kSendBufferBytes = 16 * 1024;  // NOLINT: libcurl's minimum
 
-// Probes of a silent connection: the first after a second, then one a second,
-// three in all. A partition or a peer without power shows within four seconds.
-constexpr int kProbeSeconds = 1;
-constexpr int kProbes = 3;
+// TCP keepalive of an idle connection: the first probe after one second, then
+// one per second. Detects a partition or a powered-off peer within four
+// seconds.
+constexpr int kKeepaliveProbeSeconds = 1;
+constexpr int kKeepaliveProbes = 3;
 
-// Bytes that the peer has not acknowledged for this long end the connection.
-// Several resends of the kernel fit in, and a caller's patience of seconds.
+// A connection ends when sent bytes stay unacknowledged for this long. Allows
+// several TCP retransmissions, and is shorter than a caller's timeout of
+// seconds.
 constexpr unsigned kUnacknowledgedMilliseconds = 2500;
 
 long Milliseconds(absl::Duration duration) {  // NOLINT: libcurl's own type
@@ -55,7 +57,7 @@
       request_(std::move(request)),
       sink_(std::move(sink)),
       handle_(handle),
-      last_byte_(absl::Now()) {}
+      last_byte_time_(absl::Now()) {}
 
 Transfer::~Transfer() {
   curl_slist_free_all(header_list_);
@@ -80,7 +82,7 @@
   curl_easy_setopt(handle_, CURLOPT_HEADERDATA, this);
   curl_easy_setopt(handle_, CURLOPT_WRITEFUNCTION, &OnData);
   curl_easy_setopt(handle_, CURLOPT_WRITEDATA, this);
-  curl_easy_setopt(handle_, CURLOPT_PREREQFUNCTION, &OnBeforeSending);
+  curl_easy_setopt(handle_, CURLOPT_PREREQFUNCTION, &OnBeforeSend);
   curl_easy_setopt(handle_, CURLOPT_PREREQDATA, this);
   if (request_.timeout < absl::InfiniteDuration()) {
     curl_easy_setopt(handle_, CURLOPT_TIMEOUT_MS,
@@ -106,19 +108,19 @@
             std::max<std::int64_t>(
                 1, absl::ToInt64Seconds(request_.max_connection_idle))));
   }
-  const bool own_connection =
+  const bool fresh_connection =
       request_.send_policy == SendPolicy::kFreshConnection;
-  if (own_connection) {
+  if (fresh_connection) {
     curl_easy_setopt(handle_, CURLOPT_FRESH_CONNECT, 1L);
     curl_easy_setopt(handle_, CURLOPT_FORBID_REUSE, 1L);
   }
 }
 
 void Transfer::PrepareBody() {
-  const bool bare = request_.method == "GET" && request_.body.empty();
+  const bool is_plain_get = request_.method == "GET" && request_.body.empty();
   if (request_.method == "HEAD") {
     curl_easy_setopt(handle_, CURLOPT_NOBODY, 1L);
-  } else if (!bare) {
+  } else if (!is_plain_get) {
     curl_easy_setopt(handle_, CURLOPT_POST, 1L);
     curl_easy_setopt(handle_, CURLOPT_POSTFIELDSIZE_LARGE,
                      static_cast<curl_off_t>(request_.body.size()));
@@ -126,15 +128,14 @@
     curl_easy_setopt(handle_, CURLOPT_CUSTOMREQUEST, request_.method.c_str());
   }
   for (const Header& header : request_.headers) {
-    // libcurl takes "Name:" for a header to leave out and "Name;" for an empty
-    // one.
+    // In libcurl "Name:" removes a header and "Name;" sends an empty one.
     const std::string line = header.value.empty()
                                  ? header.name + ";"
                                  : header.name + ": " + header.value;
     header_list_ = curl_slist_append(header_list_, line.c_str());
   }
-  // An Expect header would add a round trip before each larger body. The others
-  // are libcurl's own additions, which nobody asked for.
+  // Removes headers that libcurl adds by itself. Expect would also add a round
+  // trip before each larger body.
   for (const char* added : {"Expect", "Accept", "Content-Type"}) {
     if (!FindHeader(request_.headers, added).empty()) continue;
     const std::string line = std::string(added) + ":";
@@ -145,12 +146,12 @@
 
 std::size_t Transfer::OnHeader(char* data, std::size_t size, std::size_t count,
                                void* closure) {
-  static_cast<Transfer*>(closure)->TakeHeaderLine({data, size * count});
+  static_cast<Transfer*>(closure)->ParseHeaderLine({data, size * count});
   return size * count;
 }
 
-void Transfer::TakeHeaderLine(std::string_view line) {
-  last_byte_ = absl::Now();
+void Transfer::ParseHeaderLine(std::string_view line) {
+  last_byte_time_ = absl::Now();
   if (line.starts_with("HTTP/")) headers_.clear();
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos) return;
@@ -165,65 +166,66 @@
 std::size_t Transfer::OnData(char* data, std::size_t size, std::size_t count,
                              void* closure) {
   auto& transfer = *static_cast<Transfer*>(closure);
-  transfer.last_byte_ = absl::Now();
-  transfer.PassHead();
-  if (transfer.refused_by_sink_) return 0;  // libcurl ends the transfer.
+  transfer.last_byte_time_ = absl::Now();
+  transfer.DeliverHead();
+  if (transfer.stopped_by_sink_) return 0;  // libcurl ends the transfer.
   if (transfer.sink_.on_data) {
     transfer.sink_.on_data(std::string_view(data, size * count));
   }
   return size * count;
 }
 
-// libcurl repeats a request by itself when a reused connection turns out to be
-// dead before any byte of an answer came. What the other side may already have
-// taken would then run twice, and nobody would notice until an order is
-// doubled. The second sending is stopped here, so that whoever asked decides.
-int Transfer::OnBeforeSending(void* closure, char* /*primary_ip*/,
-                              char* /*local_ip*/, int /*primary_port*/,
-                              int /*local_port*/) {
+// Aborts a second attempt unless the request allows resending. libcurl resends
+// a request when a reused connection fails before any byte of the response. The
+// server may already have received it, and the request, such as an order, would
+// run twice unnoticed. The caller of Start() decides whether to retry.
+int Transfer::OnBeforeSend(void* closure, char* /*primary_ip*/,
+                           char* /*local_ip*/, int /*primary_port*/,
+                           int /*local_port*/) {
   auto& transfer = *static_cast<Transfer*>(closure);
-  const bool again = transfer.sendings_++ > 0;
+  const bool is_resend = transfer.send_attempts_++ > 0;
   const bool allowed =
       transfer.request_.send_policy == SendPolicy::kAllowResend;
-  return again && !allowed ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
+  return is_resend && !allowed ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
 }
 
-// A peer without power or behind a partition answers nothing at all, and the
-// kernel alone would wait for a quarter of an hour.
+// Sets keepalive and unacknowledged-data timeouts. For a powered-off or
+// partitioned peer, the kernel's default timeout is a quarter of an hour.
 int Transfer::OnSocket(void* /*closure*/, curl_socket_t socket,
                        curlsocktype /*purpose*/) {
   SetSocketOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1, "SO_KEEPALIVE");
-  SetSocketOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, kProbeSeconds,
+  SetSocketOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, kKeepaliveProbeSeconds,
                   "TCP_KEEPIDLE");
-  SetSocketOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, kProbeSeconds,
+  SetSocketOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, kKeepaliveProbeSeconds,
                   "TCP_KEEPINTVL");
-  SetSocketOption(socket, IPPROTO_TCP, TCP_KEEPCNT, kProbes, "TCP_KEEPCNT");
+  SetSocketOption(socket, IPPROTO_TCP, TCP_KEEPCNT, kKeepaliveProbes,
+                  "TCP_KEEPCNT");
   SetSocketOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
                   kUnacknowledgedMilliseconds, "TCP_USER_TIMEOUT");
   return CURL_SOCKOPT_OK;
 }
 
-void Transfer::PassHead() {
-  if (head_passed_) return;
-  head_passed_ = true;
+void Transfer::DeliverHead() {
+  if (head_delivered_) return;
+  head_delivered_ = true;
   long status = 0;  // NOLINT: libcurl's own type
   curl_easy_getinfo(handle_, CURLINFO_RESPONSE_CODE, &status);
   if (!sink_.on_head) return;
-  refused_by_sink_ =
+  stopped_by_sink_ =
       sink_.on_head(static_cast<int>(status), headers_) == ReadAction::kStop;
 }
 
 TransferEnd Transfer::Finish(CURLcode code) {
   TransferEnd end = Classify(code);
   if (end != TransferEnd::kComplete) return end;
-  PassHead();
-  return refused_by_sink_ ? TransferEnd::kBroken : end;
+  DeliverHead();
+  return stopped_by_sink_ ? TransferEnd::kBroken : end;
 }
 
-// Only what proves that nothing left is kNotSent.
+// Returns kNotSent only if certainly no byte of the request was sent.
 TransferEnd Transfer::Classify(CURLcode code) const {
   if (code == CURLE_OK) return TransferEnd::kComplete;
-  if (sendings_ == 0) return TransferEnd::kNotSent;
+  if (send_attempts_ == 0) return TransferEnd::kNotSent;
   if (code == CURLE_OPERATION_TIMEDOUT) return TransferEnd::kTimedOut;
   return TransferEnd::kBroken;
 }
--- a/src/http/transfer.h
+++ b/src/http/transfer.h
@@ -1,6 +1,5 @@
-// One transfer of libcurl: how a request is set up on its handle, how the
-// answer is taken in, and how its end is judged. Shared by the client with a
-// thread of its own and the one on an event loop.
+// One libcurl transfer: sets up the request on a handle, receives the response
+// and classifies the result. Used by Client and LoopClient.
 
 #ifndef GENTIANLB_HTTP_TRANSFER_H_
 #define GENTIANLB_HTTP_TRANSFER_H_
@@ -15,10 +14,11 @@
 
 namespace gentianlb::http {
 
-// Not copyable: libcurl keeps its address.
+// Not copyable: libcurl stores its address.
 class Transfer {
  public:
-  // `handle` is taken over, as curl_easy_init() or ReleaseHandle() gave it.
+  // Takes ownership of `handle`, which comes from curl_easy_init() or
+  // ReleaseHandle().
   Transfer(TransferId transfer_id, ClientRequest request, TransferSink sink,
            CURL* handle);
   ~Transfer();
@@ -28,36 +28,36 @@
   // Sets all options of the handle.
   void Prepare();
 
-  // To be called once libcurl is done with `code`: passes on an answer without
-  // a body, and tells how it ended.
+  // Must be called once libcurl has finished with `code`. Delivers the head of
+  // a response without a body and returns how the transfer ended.
   TransferEnd Finish(CURLcode code);
 
-  // The handle, to be used again; this transfer must not be used any more.
+  // Returns the handle for reuse. The transfer must not be used afterwards.
   CURL* ReleaseHandle();
 
   CURL* handle() const { return handle_; }
   const ClientRequest& request() const { return request_; }
   TransferSink& sink() { return sink_; }
-  absl::Time last_byte() const { return last_byte_; }
+  absl::Time last_byte_time() const { return last_byte_time_; }
 
-  // How many times libcurl was about to send the request.
-  int sendings() const { return sendings_; }
+  // Number of times libcurl was about to send the request.
+  int send_attempts() const { return send_attempts_; }
 
   const TransferId id;
 
  private:
   void PrepareBody();
   void PrepareConnection();
-  void PassHead();
-  void TakeHeaderLine(std::string_view line);
+  void DeliverHead();
+  void ParseHeaderLine(std::string_view line);
   TransferEnd Classify(CURLcode code) const;
 
   static std::size_t OnHeader(char* data, std::size_t size, std::size_t count,
                               void* closure);
   static std::size_t OnData(char* data, std::size_t size, std::size_t count,
                             void* closure);
-  static int OnBeforeSending(void* closure, char* primary_ip, char* local_ip,
-                             int primary_port, int local_port);
+  static int OnBeforeSend(void* closure, char* primary_ip, char* local_ip,
+                          int primary_port, int local_port);
   static int OnSocket(void* closure, curl_socket_t socket,
                       curlsocktype purpose);
 
@@ -66,14 +66,14 @@
   CURL* handle_ = nullptr;
   curl_slist* header_list_ = nullptr;
   std::vector<Header> headers_;
-  bool head_passed_ = false;
-  bool refused_by_sink_ = false;
-  int sendings_ = 0;
-  absl::Time last_byte_;
+  bool head_delivered_ = false;
+  bool stopped_by_sink_ = false;
+  int send_attempts_ = 0;
+  absl::Time last_byte_time_;
 };
 
-// Initializes libcurl once for the process; the first call decides. Without
-// TLS some megabytes of its libraries are never touched.
+// Initializes libcurl once per process; later calls have no effect. Without
+// TLS, libcurl's TLS libraries are not initialized, which saves some megabytes.
 enum class CurlUse { kWithTls, kPlainOnly };
 void InitializeCurl(CurlUse use);
 
