--- a/src/http/framing.cc
+++ b/src/http/framing.cc
@@ -8,8 +8,9 @@
 namespace {
 
 bool IsNameCharacter(char c) {
-  constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
-  return absl::ascii_isalnum(c) || kMarks.find(c) != std::string_view::npos;
+  constexpr std::string_view kPunctuation = "!#$%&'*+-.^_`|~";
+  return absl::ascii_isalnum(c) ||
+         kPunctuation.find(c) != std::string_view::npos;
 }
 
 bool IsNumber(std::string_view text) {
@@ -18,7 +19,7 @@
   });
 }
 
-bool Named(const Header& header, std::string_view name) {
+bool HasName(const Header& header, std::string_view name) {
   return SameName(header.name, name);
 }
 
@@ -29,16 +30,16 @@
   int encodings = 0;
   int hosts = 0;
   for (const Header& header : headers) {
-    const bool proper =
+    const bool is_valid_name =
         !header.name.empty() &&
         std::all_of(header.name.begin(), header.name.end(), IsNameCharacter);
-    if (!proper) return "a header name holds a character that none may";
-    if (Named(header, "host")) ++hosts;
-    if (Named(header, "content-length")) {
+    if (!is_valid_name) return "a header name holds a character that none may";
+    if (HasName(header, "host")) ++hosts;
+    if (HasName(header, "content-length")) {
       ++lengths;
       if (!IsNumber(header.value)) return "the length is not a number";
     }
-    if (Named(header, "transfer-encoding")) {
+    if (HasName(header, "transfer-encoding")) {
       ++encodings;
       if (!SameName(header.value, "chunked")) {
         return "the only transfer encoding taken is chunked";
--- a/src/http/framing.h
+++ b/src/http/framing.h
@@ -1,7 +1,7 @@
-// Whether the headers of a message leave no doubt where it ends. Whoever reads
-// the end elsewhere than the next reader lets a caller hide a second request in
-// the body of the first: it would run with that caller's rights checked for
-// another route, or for none. Such a message is refused whole.
+// Detects request smuggling. If two readers of a message disagree on where it
+// ends, a caller can hide a second request in the body of the first, and that
+// request runs with permissions checked for another route or not at all.
+// Messages with ambiguous headers are refused.
 
 #ifndef GENTIANLB_HTTP_FRAMING_H_
 #define GENTIANLB_HTTP_FRAMING_H_
@@ -13,7 +13,8 @@
 
 namespace gentianlb::http {
 
-// What is wrong, for people; empty when nothing is.
+// Returns a description of the first ambiguity in `headers`, or an empty
+// string.
 std::string_view FramingProblem(const std::vector<Header>& headers);
 
 }  // namespace gentianlb::http
--- a/src/http/framing_test.cc
+++ b/src/http/framing_test.cc
@@ -5,16 +5,16 @@
 namespace gentianlb::http {
 namespace {
 
-BOOST_AUTO_TEST_CASE(OrdinaryMessagesPass) {
+BOOST_AUTO_TEST_CASE(ValidHeadersPass) {
   BOOST_TEST(FramingProblem({}).empty());
   BOOST_TEST(FramingProblem({{"Host", "a"}, {"Content-Length", "12"}}).empty());
   BOOST_TEST(FramingProblem({{"Transfer-Encoding", "Chunked"}}).empty());
 }
 
-// A caller gives two lengths, or a length and chunks, so that one reader takes
-// the rest of the body for a second request. That request would run although
-// nobody checked it; here the message is refused.
-BOOST_AUTO_TEST_CASE(AMessageWithTwoEndsIsRefused) {
+// A caller sends two lengths, or a length and chunked encoding, so that one
+// reader treats the rest of the body as a second request, which would run
+// unchecked.
+BOOST_AUTO_TEST_CASE(ConflictingLengthsAreRefused) {
   BOOST_TEST(!FramingProblem({{"Content-Length", "4"}, {"content-length", "9"}})
                   .empty());
   BOOST_TEST(!FramingProblem(
@@ -25,15 +25,15 @@
   BOOST_TEST(!FramingProblem({{"Transfer-Encoding", "xchunked"}}).empty());
 }
 
-// A blank before the colon makes one reader ignore the header and another obey
-// it, which has the same effect.
-BOOST_AUTO_TEST_CASE(ABlankInAHeaderNameIsRefused) {
+// With a blank before the colon, one reader ignores the header and another
+// obeys it, so that they disagree on the end of the message.
+BOOST_AUTO_TEST_CASE(BlankInHeaderNameIsRefused) {
   BOOST_TEST(!FramingProblem({{"Content-Length ", "4"}}).empty());
   BOOST_TEST(!FramingProblem({{" Transfer-Encoding", "chunked"}}).empty());
   BOOST_TEST(!FramingProblem({{"", "x"}}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(TwoHostsAreRefused) {
+BOOST_AUTO_TEST_CASE(DuplicateHostIsRefused) {
   BOOST_TEST(!FramingProblem({{"Host", "a"}, {"Host", "b"}}).empty());
 }
 
