--- a/src/gentianlb/exit_code.h
+++ b/src/gentianlb/exit_code.h
@@ -3,8 +3,13 @@
 
 namespace gentianlb {
 
-// docs/RESULT_CODES.md lists them.
-enum ExitCode { kDone = 0, kRefused = 1, kBadSettings = 2, kCutShort = 4 };
+// Exit codes of gentianlb, documented in docs/RESULT_CODES.md.
+enum ExitCode {
+  kDone = 0,
+  kRefused = 1,
+  kBadSettings = 2,
+  kDrainIncomplete = 4
+};
 
 }  // namespace gentianlb
 
--- a/src/gentianlb/gateway.cc
+++ b/src/gentianlb/gateway.cc
@@ -15,19 +15,19 @@
 namespace {
 
 // Idle connections to backend servers that are kept for later requests: more
-// than a host's requests run at once on today's deployments.
-constexpr int kKeptConnections = 64;
+// than the number of requests that a host runs at once.
+constexpr int kMaxIdleConnections = 64;
 
-// What a running process can't change is told, so that nobody waits for it.
-void ReadAgain(const std::string& path,
-               const settings::GatewaySettings& in_force) {
+// Reads the settings file again and logs whether it differs from the current
+// settings. A running process can't change its settings.
+void Reload(const std::string& path, const settings::GatewaySettings& current) {
   const auto read = settings::LoadGatewaySettings(path);
   if (!read.ok()) {
     LOG(ERROR) << "event=settings-refused cause=\"" << read.error().detail
                << "\"";
     return;
   }
-  LOG(INFO) << "event=settings-read same=" << (read.value() == in_force);
+  LOG(INFO) << "event=settings-read same=" << (read.value() == current);
 }
 
 }  // namespace
@@ -43,7 +43,7 @@
   signal(SIGPIPE, SIG_IGN);
 
   loop::EventLoop loop;
-  http::LoopClient client(&loop, kKeptConnections);
+  http::LoopClient client(&loop, kMaxIdleConnections);
   auto host = gateway::Host::Start(
       settings.value(), platform::MakePlatform(&client, settings.value().table),
       &loop, &log);
@@ -52,8 +52,8 @@
               << host.error().detail << "\n";
     return kRefused;
   }
-  loop.OnSignals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
-    if (signal == SIGHUP) return ReadAgain(settings_path, settings.value());
+  loop.SetSignalCallback({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
+    if (signal == SIGHUP) return Reload(settings_path, settings.value());
     host.value()->Drain();
   });
   loop.Run();
--- a/src/gentianlb/gateway.h
+++ b/src/gentianlb/gateway.h
@@ -1,4 +1,4 @@
-// The process of an entry host on the users' platform.
+// The entry host process on the users' platform.
 
 #ifndef GENTIANLB_GENTIANLB_GATEWAY_H_
 #define GENTIANLB_GENTIANLB_GATEWAY_H_
@@ -7,8 +7,8 @@
 
 namespace gentianlb {
 
-// Runs until SIGTERM has drained it; SIGHUP reads the settings again. The exit
-// code is one of docs/RESULT_CODES.md.
+// Runs an entry host until it has drained after SIGTERM or SIGINT; SIGHUP reads
+// the settings again. Returns an exit code, see docs/RESULT_CODES.md.
 int RunGateway(const std::string& settings_path);
 
 }  // namespace gentianlb
--- a/src/gentianlb/main.cc
+++ b/src/gentianlb/main.cc
@@ -1,5 +1,5 @@
-// The process of an entry host. SIGTERM or SIGINT drains it; a second one, or
-// the drain limit of its settings, ends it at once.
+// The entry host process. SIGTERM or SIGINT starts a drain; a second signal or
+// the drain limit in the settings ends the process at once.
 
 #include <glog/logging.h>
 #include <pthread.h>
@@ -17,8 +17,8 @@
 namespace gentianlb {
 namespace {
 
-// How often a drain looks whether it is done.
-constexpr absl::Duration kDrainPoll = absl::Milliseconds(50);
+// Interval at which a drain checks whether it is complete.
+constexpr absl::Duration kDrainPollInterval = absl::Milliseconds(50);
 
 sigset_t ShutdownSignals() {
   sigset_t signals;
@@ -28,7 +28,7 @@
   return signals;
 }
 
-// Waits for a shutdown signal; false when `limit` passed first.
+// Waits for a shutdown signal; returns false if `limit` passes first.
 bool WaitForSignal(const sigset_t& signals, absl::Duration limit) {
   timespec wait = absl::ToTimespec(limit);
   return sigtimedwait(&signals, nullptr, &wait) > 0;
@@ -46,12 +46,12 @@
   host->Drain();
   absl::Time end = absl::Now() + limit;
   while (!host->drained()) {
-    bool again = WaitForSignal(signals, kDrainPoll);
-    if (!again && absl::Now() < end) continue;
+    bool signaled = WaitForSignal(signals, kDrainPollInterval);
+    if (!signaled && absl::Now() < end) continue;
     for (const RequestId& id : host->OpenRequests()) {
       LOG(WARNING) << "event=request-cut request=" << id;
     }
-    return kCutShort;
+    return kDrainIncomplete;
   }
   LOG(INFO) << "event=drained";
   return kDone;
@@ -64,7 +64,7 @@
     return kBadSettings;
   }
   InitLogging(settings.value().log);
-  // All threads inherit the mask, so that only this one takes the signals.
+  // All threads inherit the mask, so that only this one receives the signals.
   sigset_t signals = ShutdownSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   signal(SIGPIPE, SIG_IGN);
@@ -87,14 +87,14 @@
 
 int main(int argc, char** argv) {
   CLI::App app(
-      "The entry host of gentianlb: takes requests, decides, sends "
-      "them to backend servers and streams the answers back.");
+      "The entry host of gentianlb: schedules requests, sends "
+      "them to backend servers and streams the responses back.");
   std::string settings;
   app.add_option("--settings", settings, "INI file with this host's settings")
       ->envname("GENTIANLB_CONFIG")
       ->required();
   CLI::App* gateway = app.add_subcommand(
-      "gateway", "Run on the users' platform, as docs/design/platform.md says");
+      "gateway", "Run on the users' platform, see docs/design/platform.md");
   gateway->fallthrough();
   try {
     app.parse(argc, argv);
--- a/src/loop/datagram_socket.cc
+++ b/src/loop/datagram_socket.cc
@@ -40,16 +40,16 @@
     OnMessage on_message) {
   sockaddr_in address;
   if (!MakeAddress(ip, port, &address)) {
-    return Error{Code::kOutOfRange, "not an IP number: " + ip};
+    return Error{Code::kOutOfRange, "not an IPv4 address: " + ip};
   }
   const int descriptor =
       socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (descriptor < 0) return Error{Code::kInternal, "no socket for datagrams"};
-  const auto* generic = reinterpret_cast<const sockaddr*>(&address);
-  if (bind(descriptor, generic, sizeof address) != 0) {
+  if (descriptor < 0) return Error{Code::kInternal, "can't open UDP socket"};
+  const auto* socket_address = reinterpret_cast<const sockaddr*>(&address);
+  if (bind(descriptor, socket_address, sizeof address) != 0) {
     close(descriptor);
     return Error{Code::kContradiction,
-                 "can't take datagrams on " + ip + ":" + std::to_string(port)};
+                 "can't bind UDP socket to " + ip + ":" + std::to_string(port)};
   }
   sockaddr_in bound = {};
   socklen_t size = sizeof bound;
@@ -70,9 +70,9 @@
 }
 
 void DatagramSocket::Receive() {
-  // More than one may wait; the rest is reported again in the next round.
-  constexpr int kPerRound = 32;
-  for (int i = 0; i < kPerRound; ++i) {
+  // epoll reports messages beyond the limit again in the next round.
+  constexpr int kMaxMessagesPerRound = 32;
+  for (int i = 0; i < kMaxMessagesPerRound; ++i) {
     const ssize_t count = recv(descriptor_, buffer_.data(), buffer_.size(), 0);
     if (count < 0) return;
     on_message_({buffer_.data(), static_cast<std::size_t>(count)});
--- a/src/loop/datagram_socket.h
+++ b/src/loop/datagram_socket.h
@@ -1,4 +1,4 @@
-// A UDP socket on an event loop, for small messages that may be lost.
+// A UDP socket on an event loop, for small messages whose loss is acceptable.
 
 #ifndef GENTIANLB_LOOP_DATAGRAM_SOCKET_H_
 #define GENTIANLB_LOOP_DATAGRAM_SOCKET_H_
@@ -16,15 +16,15 @@
 
 namespace gentianlb::loop {
 
-// The longest message. A datagram over IPv4 can't hold 64 KiB.
+// Maximum size of a message. An IPv4 datagram can't hold 64 KiB.
 inline constexpr std::size_t kMaxMessageBytes = 60 << 10;
 
 class DatagramSocket {
  public:
   using OnMessage = std::function<void(std::string_view bytes)>;
 
-  // Binds to `ip` and `port`; port 0: the kernel picks one. `loop` outlives the
-  // socket.
+  // Binds to `ip` and `port`; with port 0, the kernel chooses one. `loop` must
+  // outlive the socket.
   static Outcome<std::unique_ptr<DatagramSocket>> Bind(EventLoop* loop,
                                                        const std::string& ip,
                                                        std::uint16_t port,
@@ -33,8 +33,8 @@
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
 
-  // False when it was certainly not sent, as when it is too long. Losses on the
-  // way don't show.
+  // Sends a message. Returns false if it was certainly not sent, for example
+  // because it is too long. Losses on the network are not detected.
   bool Send(const std::string& ip, std::uint16_t port, std::string_view bytes);
 
   std::uint16_t port() const { return port_; }
--- a/src/loop/datagram_socket_test.cc
+++ b/src/loop/datagram_socket_test.cc
@@ -6,28 +6,29 @@
 namespace gentianlb::loop {
 namespace {
 
-// Guards against large messages that arrive cut, and are useless then.
-BOOST_AUTO_TEST_CASE(TheLargestMessageArrivesWhole) {
+// A large message that arrives truncated is useless.
+BOOST_AUTO_TEST_CASE(LargestMessageArrivesWhole) {
   EventLoop loop;
-  std::string got;
-  auto to =
+  std::string received;
+  auto receiver =
       DatagramSocket::Bind(&loop, "127.0.0.1", 0, [&](std::string_view bytes) {
-        got = bytes;
+        received = bytes;
         loop.Stop();
       });
-  BOOST_REQUIRE(to.ok());
-  auto from =
+  BOOST_REQUIRE(receiver.ok());
+  auto sender =
       DatagramSocket::Bind(&loop, "127.0.0.1", 0, [](std::string_view) {});
-  BOOST_REQUIRE(from.ok());
+  BOOST_REQUIRE(sender.ok());
   std::string sent(kMaxMessageBytes, 'x');
   sent.back() = 'y';
-  BOOST_REQUIRE(from.value()->Send("127.0.0.1", to.value()->port(), sent));
+  BOOST_REQUIRE(
+      sender.value()->Send("127.0.0.1", receiver.value()->port(), sent));
   loop.Run();
-  BOOST_TEST((got == sent));
+  BOOST_TEST((received == sent));
 }
 
-// What can't arrive whole is not sent, and the sender hears so.
-BOOST_AUTO_TEST_CASE(ALargerMessageIsNotSent) {
+// A message that a datagram can't hold is not sent, and Send() returns false.
+BOOST_AUTO_TEST_CASE(OversizedMessageIsNotSent) {
   EventLoop loop;
   auto socket =
       DatagramSocket::Bind(&loop, "127.0.0.1", 0, [](std::string_view) {});
--- a/src/loop/event_loop.h
+++ b/src/loop/event_loop.h
@@ -1,6 +1,7 @@
-// One thread that waits for sockets, signals and timers and runs what they
-// call. A small host has a part of one core: handing a request from thread to
-// thread costs two wake-ups each way there, and a loop costs none.
+// An event loop that waits for sockets, signals and timers and runs their
+// callbacks on one thread. A small host has a fraction of one core, where
+// passing a request between threads costs two wake-ups each way; a loop costs
+// none.
 
 #ifndef GENTIANLB_LOOP_EVENT_LOOP_H_
 #define GENTIANLB_LOOP_EVENT_LOOP_H_
@@ -16,14 +17,14 @@
 
 namespace gentianlb::loop {
 
-// Time that never jumps: the steady clock, shown as a time so that it can be
-// compared. Only differences mean anything.
+// Returns the time of the steady clock, which never jumps. Only differences are
+// meaningful: the value is not the time of day.
 absl::Time SteadyNow();
 
-// Not thread-safe; everything runs on the thread that calls Run().
+// Not thread-safe; all callbacks run on the thread that calls Run().
 class EventLoop {
  public:
-  // `events` as epoll reports them.
+  // `events`: epoll event flags.
   using SocketCallback = std::function<void(std::uint32_t events)>;
   using SignalCallback = std::function<void(int signal)>;
 
@@ -32,32 +33,34 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Calls `callback` whenever one of `events` is reported for `descriptor`.
-  // Watching again changes both.
+  // Calls `callback` whenever epoll reports one of `events` for `descriptor`. A
+  // second call for the same descriptor replaces events and callback.
   void Watch(int descriptor, std::uint32_t events, SocketCallback callback);
-  // Also when nothing watches it.
+  // Stops watching `descriptor`. Does nothing if it isn't watched.
   void Unwatch(int descriptor);
 
-  // Calls `callback` on this thread after one of `signals` has come. At most
-  // one call of it stands in a process.
-  void OnSignals(const std::vector<int>& signals, SignalCallback callback);
+  // Calls `callback` on this thread after one of `signals` has been received.
+  // May be used by one event loop per process, once.
+  void SetSignalCallback(const std::vector<int>& signals,
+                         SignalCallback callback);
 
-  // Runs `closure` before the loop next waits, after what runs now has ended:
-  // for whoever must not destroy itself or its caller at once.
+  // Runs `closure` after the current callback has returned, before the loop
+  // waits again: for objects that must not destroy themselves or their caller
+  // within a callback.
   void Defer(std::function<void()> closure);
 
-  // Until Stop() is called.
+  // Runs until Stop() is called.
   void Run();
   void Stop() { stopping_ = true; }
 
   TimerService& timers() { return timers_; }
-  // When this round of events began.
+  // Returns the time at which the current round of events began.
   absl::Time now() const { return now_; }
 
  private:
   void RunDeferred();
   int WaitMilliseconds() const;
-  void TakeSignals();
+  void HandleSignals();
 
   struct Watcher {
     std::uint64_t generation = 0;
--- a/src/loop/event_loop_test.cc
+++ b/src/loop/event_loop_test.cc
@@ -25,22 +25,22 @@
 BOOST_AUTO_TEST_CASE(CallsBackWhenBytesArrive) {
   EventLoop loop;
   SocketPair pair;
-  std::string got;
+  std::string received;
   loop.Watch(pair.ends[0], EPOLLIN, [&](std::uint32_t) {
     char byte = 0;
     BOOST_REQUIRE(read(pair.ends[0], &byte, 1) == 1);
-    got += byte;
-    if (got.size() == 2) loop.Stop();
+    received += byte;
+    if (received.size() == 2) loop.Stop();
   });
   BOOST_REQUIRE(write(pair.ends[1], "ab", 2) == 2);
   loop.Run();
-  BOOST_TEST(got == "ab");
+  BOOST_TEST(received == "ab");
 }
 
-// Two sockets are ready in the same round, and what the first one brings closes
-// the second. Called all the same, the second's owner would work on a closed
-// connection, or on a stranger's that has got its number.
-BOOST_AUTO_TEST_CASE(WhatIsUnwatchedInTheSameRoundIsNotCalled) {
+// Two sockets are ready in the same round, and the callback of the first closes
+// the second. If the second callback ran, it would use a closed connection, or
+// another one that has got the same descriptor.
+BOOST_AUTO_TEST_CASE(SocketUnwatchedInTheSameRoundIsNotCalled) {
   EventLoop loop;
   SocketPair first;
   SocketPair second;
@@ -62,14 +62,14 @@
 
 BOOST_AUTO_TEST_CASE(SignalsArriveOnTheLoop) {
   EventLoop loop;
-  int got = 0;
-  loop.OnSignals({SIGUSR1}, [&](int signal) {
-    got = signal;
+  int received = 0;
+  loop.SetSignalCallback({SIGUSR1}, [&](int signal) {
+    received = signal;
     loop.Stop();
   });
   loop.Defer([] { raise(SIGUSR1); });
   loop.Run();
-  BOOST_TEST(got == SIGUSR1);
+  BOOST_TEST(received == SIGUSR1);
 }
 
 BOOST_AUTO_TEST_CASE(TimersAndDeferredClosuresRun) {
@@ -86,10 +86,11 @@
   BOOST_TEST(order == "timer deferred");
 }
 
-// What is deferred stops the loop while a socket has bytes. A loop that first
-// waits once more calls the socket's owner, which may be gone by then; with no
-// bytes to come, the process would end up to a minute late.
-BOOST_AUTO_TEST_CASE(AStopThatWasDeferredEndsTheLoopAtOnce) {
+// A deferred closure stops the loop while a socket has bytes to read. If the
+// loop waited once more, it would call the socket's owner, which may be
+// destroyed by then; without any bytes, the process would end up to a minute
+// late.
+BOOST_AUTO_TEST_CASE(DeferredStopEndsTheLoopWithoutWaiting) {
   EventLoop loop;
   SocketPair pair;
   int calls = 0;
