--- a/src/base/decaying_sum.h
+++ b/src/base/decaying_sum.h
@@ -1,4 +1,4 @@
-// A sum that fades with time: how much came of late.
+// A sum with exponential decay, which measures recent activity.
 
 #ifndef GENTIANLB_BASE_DECAYING_SUM_H_
 #define GENTIANLB_BASE_DECAYING_SUM_H_
@@ -11,22 +11,24 @@
 
 class DecayingSum {
  public:
-  // After `memory` 37 parts in 100 of an amount are left.
-  explicit DecayingSum(absl::Duration memory) : memory_(memory) {}
+  // After `time_constant`, 37% of an amount remains.
+  explicit DecayingSum(absl::Duration time_constant)
+      : time_constant_(time_constant) {}
 
   void Add(double amount, absl::Time now) {
     sum_ = At(now) + amount;
-    as_of_ = now;
+    updated_at_ = now;
   }
 
   double At(absl::Time now) const {
-    return sum_ * std::exp(-absl::FDivDuration(now - as_of_, memory_));
+    return sum_ *
+           std::exp(-absl::FDivDuration(now - updated_at_, time_constant_));
   }
 
  private:
-  absl::Duration memory_;
+  absl::Duration time_constant_;
   double sum_ = 0;
-  absl::Time as_of_;
+  absl::Time updated_at_;
 };
 
 }  // namespace gentianlb
--- a/src/base/decaying_sum_test.cc
+++ b/src/base/decaying_sum_test.cc
@@ -5,7 +5,7 @@
 namespace gentianlb {
 namespace {
 
-BOOST_AUTO_TEST_CASE(WhatCameFadesAndAddsUp) {
+BOOST_AUTO_TEST_CASE(AmountsDecayAndAddUp) {
   const absl::Time start = absl::UnixEpoch() + absl::Hours(1);
   DecayingSum sum(absl::Seconds(2));
   BOOST_TEST(sum.At(start) == 0);
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -1,5 +1,5 @@
-// Names of things as distinct types, so that a workspace can never be passed
-// where a backend server is meant. All are immutable values.
+// Distinct identifier types, so that a workspace can't be passed where a
+// backend server is expected. All are immutable values.
 
 #ifndef GENTIANLB_BASE_IDS_H_
 #define GENTIANLB_BASE_IDS_H_
@@ -12,7 +12,7 @@
 
 namespace gentianlb {
 
-// A name with a type of its own. `Tag` only tells the types apart.
+// A string identifier. `Tag` makes each kind of identifier a distinct type.
 template <typename Tag>
 class Id {
  public:
@@ -43,19 +43,20 @@
 using ServiceId = Id<struct ServiceTag>;
 using ModelId = Id<struct ModelTag>;
 
-// Names one request inside the system: unique per try of a caller, made by the
-// entry host that accepted it.
+// Identifies a request within the system. Unique for each attempt of a caller;
+// created by the entry host that accepts the request.
 using RequestId = Id<struct RequestTag>;
 
 // The caller's Idempotency-Key within its workspace; empty when none was sent.
 using IdempotencyKey = Id<struct IdempotencyKeyTag>;
 
-// Counts the starts of one entry host; a restarted host has a higher one. Taken
-// from the wall clock at start, in microseconds since the epoch, so that it
-// needs no disk.
+// Identifies one start of an entry host; a restarted host has a higher value.
+// Wall clock time of the start in microseconds since the epoch, so that no disk
+// is needed.
 using Incarnation = std::int64_t;
 
-// A tier of service. Rank 0 is the most urgent; a higher rank gives way first.
+// A service tier. Rank 0 has the highest priority; a higher rank has a lower
+// priority.
 struct Tier {
   int rank = 0;
   auto operator<=>(const Tier&) const = default;
--- a/src/base/json_text.cc
+++ b/src/base/json_text.cc
@@ -5,11 +5,11 @@
 namespace gentianlb {
 
 std::string ToText(const Json::Value& value) {
-  // Building it costs more than writing a row.
+  // Static: constructing a builder costs more than writing a row.
   static const auto& builder = *[] {
-    auto* made = new Json::StreamWriterBuilder;
-    (*made)["indentation"] = "";
-    return made;
+    auto* new_builder = new Json::StreamWriterBuilder;
+    (*new_builder)["indentation"] = "";
+    return new_builder;
   }();
   return Json::writeString(builder, value);
 }
--- a/src/base/json_text.h
+++ b/src/base/json_text.h
@@ -1,4 +1,4 @@
-// JSON that others have written, read without a throw, and written on one line.
+// Parses untrusted JSON without exceptions, and writes JSON on one line.
 
 #ifndef GENTIANLB_BASE_JSON_TEXT_H_
 #define GENTIANLB_BASE_JSON_TEXT_H_
@@ -12,13 +12,15 @@
 
 namespace gentianlb {
 
+// Returns `value` as JSON on one line.
 std::string ToText(const Json::Value& value);
 
-// Nothing when `text` isn't one JSON object. jsoncpp throws on text that is
-// nested too deeply; a corrupt row must not end the process that reads it.
+// Returns the JSON object in `text`, or nullopt if it isn't one. jsoncpp throws
+// an exception if the nesting is too deep; a corrupt row must not terminate the
+// process that reads it.
 std::optional<Json::Value> ParseObject(std::string_view text);
 
-// Whether each of these fields is a text, or a whole number of 64 bits.
+// Return whether each of these fields is a string, or a 64-bit integer.
 bool AllStrings(const Json::Value& json,
                 std::initializer_list<const char*> names);
 bool AllIntegers(const Json::Value& json,
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,8 +1,9 @@
-// Numbered result codes and the error type of the whole system.
+// Numbered result codes and the error type of the system.
 //
-// Within one thread, functions return Result<T> (Boost.LEAF) and carry an
-// Error. LEAF keeps error objects in the thread that raised them, so what
-// crosses threads is an Outcome<T>: a plain value that holds either.
+// Within one thread, functions return Result<T> (Boost.LEAF), which carries an
+// Error. LEAF stores error objects in the thread that raised them, so results
+// that are passed between threads are an Outcome<T>, a plain value that holds a
+// T or an Error.
 
 #ifndef GENTIANLB_BASE_RESULT_H_
 #define GENTIANLB_BASE_RESULT_H_
@@ -19,15 +20,15 @@
 template <typename T>
 using Result = boost::leaf::result<T>;
 
-// Whether a request that ended in a refusal was run by a backend server.
+// Whether a backend server ran a request that was refused.
 enum class RunState {
-  kNo,       // Certainly not run, and it never will be under this claim.
-  kUnknown,  // It may have run; the caller must not assume either.
+  kNo,       // Certainly not run, and never will be under this claim.
+  kUnknown,  // It may or may not have run.
 };
 
-// One row per code: identifier, number, HTTP status, whether it was run, and
-// what it means. docs/RESULT_CODES.md repeats the table; a test compares them.
-// Numbers never change their meaning; a retired number is not used again.
+// One row per code: identifier, number, HTTP status, run state and meaning.
+// docs/RESULT_CODES.md repeats the table; a test compares them. A number never
+// changes its meaning and is not reused after it is retired.
 //   1xxx the caller's message       2xxx refused under load or limits
 //   3xxx backend servers            4xxx claims and keys
 //   5xxx platform and control       6xxx settings and intent
@@ -102,7 +103,7 @@
 #undef GENTIANLB_ENUM
 };
 
-// What the table says of one code.
+// The table row of one code.
 struct CodeInfo {
   Code code;
   std::string_view name;  // Without the leading k.
@@ -111,13 +112,13 @@
   std::string_view meaning;
 };
 
-// The row of `code`.
+// Returns the row of `code`.
 const CodeInfo& Describe(Code code);
 
-// All rows in the order of their numbers.
+// Returns all rows, ordered by number.
 const std::vector<CodeInfo>& AllCodes();
 
-// An error: the numbered code and what was found, for people.
+// An error: its code and a human-readable detail.
 struct Error {
   Code code = Code::kInternal;
   std::string detail;
@@ -129,7 +130,7 @@
   return boost::leaf::new_error(Error{code, std::move(detail)});
 }
 
-// Either a value or an Error; may be kept and handed to another thread.
+// Either a value or an Error; may be stored and passed between threads.
 template <typename T>
 class [[nodiscard]] Outcome {
  public:
@@ -145,7 +146,8 @@
   std::variant<T, Error> state_;
 };
 
-// Runs `body`, which returns Result<T>, and turns what it raised into a value.
+// Runs `body`, which returns Result<T>, and returns its value or the error that
+// it raised as an Outcome<T>.
 template <typename Body>
 auto Capture(Body&& body) {
   using T = std::decay_t<decltype(body().value())>;
--- a/src/base/result_test.cc
+++ b/src/base/result_test.cc
@@ -16,13 +16,13 @@
   return row.str();
 }
 
-// Operators look a number up in the page; a row that differs from the source
-// would send them the wrong way.
-BOOST_AUTO_TEST_CASE(ThePageListsExactlyTheCodesOfTheSource) {
+// Operators look up codes in the documentation; a row that differs from the
+// source would mislead them.
+BOOST_AUTO_TEST_CASE(DocumentationListsExactlyTheDefinedCodes) {
   std::ifstream page(GENTIANLB_SOURCE_DIR "/docs/RESULT_CODES.md");
   std::vector<std::string> rows;
   for (std::string line; std::getline(page, line);) {
-    // The exit codes further down have one digit.
+    // Skips the table of exit codes, which have one digit.
     bool four_digits = line.size() > 7 && line.substr(6, 2) == " |" &&
                        std::isdigit(line[2]) != 0;
     if (line.starts_with("| ") && four_digits) rows.push_back(line);
@@ -34,7 +34,7 @@
   BOOST_TEST(rows == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(CaptureCarriesTheErrorOutOfLeaf) {
+BOOST_AUTO_TEST_CASE(CaptureReturnsTheRaisedError) {
   auto outcome = Capture(
       []() -> Result<int> { return Fail(Code::kQueueFull, "64 waiting"); });
   BOOST_TEST(!outcome.ok());
--- a/src/base/retry.cc
+++ b/src/base/retry.cc
@@ -6,7 +6,7 @@
 namespace gentianlb {
 namespace {
 
-constexpr int kMostDoublings = 20;
+constexpr int kMaxDoublings = 20;
 
 }  // namespace
 
@@ -21,16 +21,16 @@
   return true;
 }
 
-void RetryBudget::SetMaxSavedRetries(double most) {
-  options_.max_saved_retries = most;
-  saved_ = std::min(saved_, most);
+void RetryBudget::SetMaxSavedRetries(double max_saved_retries) {
+  options_.max_saved_retries = max_saved_retries;
+  saved_ = std::min(saved_, max_saved_retries);
 }
 
 absl::Duration RetryDelay(const RetryOptions& options, int retry,
                           double random) {
-  int doublings = std::min(retry, kMostDoublings);
-  absl::Duration most = options.first_delay * (std::int64_t{1} << doublings);
-  return std::min(most, options.max_delay) * random;
+  int doublings = std::min(retry, kMaxDoublings);
+  absl::Duration backoff = options.first_delay * (std::int64_t{1} << doublings);
+  return std::min(backoff, options.max_delay) * random;
 }
 
 }  // namespace gentianlb
--- a/src/base/retry.h
+++ b/src/base/retry.h
@@ -1,5 +1,5 @@
-// When a failed call is sent again: a budget over all calls, and a jittered
-// delay for each.
+// Retries of failed calls: a budget for all calls of a service, and a jittered
+// delay for each retry.
 
 #ifndef GENTIANLB_BASE_RETRY_H_
 #define GENTIANLB_BASE_RETRY_H_
@@ -9,38 +9,41 @@
 namespace gentianlb {
 
 struct RetryOptions {
-  // Retries add at most this part to the load of a failing service. Whether a
-  // call counts when it is sent or when it succeeds is the user's choice.
+  // Maximum load, as a fraction of the calls, that retries add to a failing
+  // service. The caller of OnCall() decides whether sent or successful calls
+  // count.
   double retries_per_call = 0.1;
-  // A tenth is a usual figure for retry budgets. A host with few calls may
-  // still retry this often in a row, which rides over one failed server.
+  // Maximum number of retries in a row. A host with few calls can still retry
+  // this often, which is enough when one server fails.
   double max_saved_retries = 10;
   absl::Duration first_delay = absl::Milliseconds(20);
   absl::Duration max_delay = absl::Seconds(1);
   bool operator==(const RetryOptions&) const = default;
 };
 
-// Every caller that repeats three times makes a slow service four times slower,
-// and it stays down after its cause is gone. One would notice an outage that
-// outlives its repair. The budget bounds retries by the calls that went before.
+// Limits retries to a fraction of the preceding calls. Without a limit, callers
+// that each retry three times put four times the load on a slow service, and
+// the outage continues after its cause is repaired.
 class RetryBudget {
  public:
   explicit RetryBudget(RetryOptions options)
       : options_(options), saved_(options.max_saved_retries) {}
 
+  // Records a call, which adds `retries_per_call` to the budget.
   void OnCall();
-  // Takes one retry; false when there is none left.
+  // Takes one retry from the budget; returns false if none is left.
   bool Take();
-  // What may be saved up changes, as when a bound is divided among more users.
-  void SetMaxSavedRetries(double most);
+  // Sets the maximum budget, for example when more users share a limit.
+  void SetMaxSavedRetries(double max_saved_retries);
 
  private:
   RetryOptions options_;
   double saved_;
 };
 
-// The delay before retry number `retry`, from 0. `random` lies in [0, 1); the
-// whole delay is drawn, so that hosts that failed together come back apart.
+// Returns the delay before retry number `retry`, counted from 0: `random`,
+// which is in [0, 1), times the exponential backoff (full jitter). Hosts that
+// failed together thus retry at different times.
 absl::Duration RetryDelay(const RetryOptions& options, int retry,
                           double random);
 
--- a/src/base/timer_service.cc
+++ b/src/base/timer_service.cc
@@ -20,10 +20,10 @@
 }
 
 void TimerService::Cancel(TimerId id) {
-  auto known = due_by_id_.find(id);
-  if (known == due_by_id_.end()) return;
-  entries_.erase(std::pair(known->second, id));
-  due_by_id_.erase(known);
+  auto found = due_by_id_.find(id);
+  if (found == due_by_id_.end()) return;
+  entries_.erase(std::pair(found->second, id));
+  due_by_id_.erase(found);
 }
 
 void TimerService::Advance(absl::Time now) {
@@ -33,7 +33,7 @@
     Entry& entry = node.mapped();
     Callback callback = entry.callback;
     if (entry.period > absl::ZeroDuration()) {
-      // Skip missed periods: the next call lies after `now`.
+      // Skips missed periods: the next call is after `now`.
       absl::Duration late = now - entry.due;
       entry.due +=
           entry.period * (absl::Floor(late, entry.period) / entry.period + 1);
--- a/src/base/timer_service.h
+++ b/src/base/timer_service.h
@@ -1,6 +1,6 @@
-// The timer service: parts subscribe to a point in time or a period, and the
-// control thread drives it by telling it the time. It reads no clock itself, so
-// that a test moves the time by hand and gets the same order of calls each run.
+// One-shot and periodic timers, driven by Advance() from the control thread.
+// The service reads no clock, so that tests can set the time and get the same
+// order of callbacks in each run.
 
 #ifndef GENTIANLB_BASE_TIMER_SERVICE_H_
 #define GENTIANLB_BASE_TIMER_SERVICE_H_
@@ -15,7 +15,7 @@
 
 namespace gentianlb {
 
-// Names one subscription; 0 names none.
+// Identifies a timer; 0 identifies none.
 using TimerId = std::uint64_t;
 
 // Not thread-safe: owned by the control thread.
@@ -26,24 +26,24 @@
   // Calls `callback` once, at the first Advance() at or after `when`.
   TimerId At(absl::Time when, Callback callback);
 
-  // Calls `callback` at `first` and then every `period`. After a pause of the
-  // process, missed periods are not made up: a burst of overdue heartbeats or
-  // renewals would act on a picture that is no longer true.
+  // Calls `callback` at `first` and then every `period`. Periods missed while
+  // the process was paused are skipped: a burst of overdue heartbeats or
+  // renewals would act on outdated state.
   TimerId Every(absl::Time first, absl::Duration period, Callback callback);
 
-  // Ends a subscription. A no-op when it has fired or never was.
+  // Cancels a timer. Does nothing if it has fired or never existed.
   void Cancel(TimerId id);
 
-  // Fires all that is due at `now`, by time and then by subscription order.
+  // Fires all timers due at `now`, ordered by time and then by creation.
   void Advance(absl::Time now);
 
-  // When the next subscription is due; InfiniteFuture() when there is none.
+  // Returns when the next timer is due; InfiniteFuture() if there is none.
   absl::Time NextDue() const;
 
  private:
   struct Entry {
     absl::Time due;
-    absl::Duration period;  // Zero when it fires once.
+    absl::Duration period;  // Zero for a one-shot timer.
     Callback callback;
   };
 
--- a/src/base/timer_service_test.cc
+++ b/src/base/timer_service_test.cc
@@ -8,7 +8,7 @@
 
 absl::Time At(int seconds) { return absl::FromUnixSeconds(seconds); }
 
-BOOST_AUTO_TEST_CASE(FiresInOrderOfTimeThenOfSubscription) {
+BOOST_AUTO_TEST_CASE(FiresInOrderOfTimeThenSubscription) {
   TimerService timers;
   std::vector<int> fired;
   timers.At(At(2), [&](absl::Time) { fired.push_back(2); });
@@ -20,9 +20,10 @@
   BOOST_TEST((timers.NextDue() == absl::InfiniteFuture()));
 }
 
-// A host is frozen for a minute and wakes up. Without skipping, all missed
-// periods would fire at once and peers would see a burst of stale heartbeats.
-BOOST_AUTO_TEST_CASE(MissedPeriodsAreNotMadeUp) {
+// A host is frozen for a minute and resumes. Without skipping, all missed
+// periods would fire at once and peers would receive a burst of stale
+// heartbeats.
+BOOST_AUTO_TEST_CASE(MissedPeriodsAreSkipped) {
   TimerService timers;
   int calls = 0;
   timers.Every(At(1), absl::Seconds(1), [&](absl::Time) { ++calls; });
@@ -31,7 +32,7 @@
   BOOST_TEST((timers.NextDue() == At(62)));
 }
 
-BOOST_AUTO_TEST_CASE(CancelledWithinACallbackStaysSilent) {
+BOOST_AUTO_TEST_CASE(TimerCancelledWithinACallbackDoesNotFire) {
   TimerService timers;
   int calls = 0;
   TimerId second = 0;
