--- a/src/log/bounded_log.cc
+++ b/src/log/bounded_log.cc
@@ -11,8 +11,8 @@
 namespace gentianlb::log {
 namespace {
 
-// Enough to be written in one call, few enough to be written soon.
-constexpr std::size_t kFlushBytes = 16 << 10;
+// Buffered bytes that trigger a flush: few writes, and a short delay.
+constexpr std::size_t kFlushThresholdBytes = 16 << 10;
 
 constexpr google::LogSeverity kSeverities[] = {
     google::GLOG_INFO, google::GLOG_WARNING, google::GLOG_ERROR,
@@ -24,12 +24,12 @@
     : options_(options),
       name_(std::move(name)),
       allowance_(options.burst_lines),
-      refilled_(absl::Now()) {
+      refilled_at_(absl::Now()) {
   const int flags = fcntl(options_.descriptor, F_GETFL);
   fcntl(options_.descriptor, F_SETFL, flags | O_NONBLOCK);
   FLAGS_logtostderr = false;
   FLAGS_stderrthreshold = google::GLOG_FATAL;
-  // No files: a host has no disk.
+  // Disables log files: a host has no disk.
   for (const google::LogSeverity severity : kSeverities) {
     google::SetLogDestination(severity, "");
   }
@@ -47,27 +47,29 @@
                       const google::LogMessageTime& /*time*/,
                       const char* message, std::size_t message_len) {
   if (!Admit(severity)) {
-    ++left_out_;
+    ++dropped_lines_;
     return;
   }
-  if (left_out_ > left_out_told_) {
-    const std::uint64_t count = left_out_ - left_out_told_;
-    left_out_told_ = left_out_;
+  if (dropped_lines_ > reported_dropped_lines_) {
+    const std::uint64_t count = dropped_lines_ - reported_dropped_lines_;
+    reported_dropped_lines_ = dropped_lines_;
     Append(google::GLOG_WARNING,
            "event=log-left-out lines=" + std::to_string(count));
   }
   Append(severity, std::string_view(message, message_len));
-  if (buffer_.size() >= kFlushBytes) Flush();
+  if (buffer_.size() >= kFlushThresholdBytes) Flush();
 }
 
 bool BoundedLog::Admit(google::LogSeverity severity) {
   if (buffer_.size() >= options_.buffer_bytes) return false;
   const absl::Time now = absl::Now();
-  // The time of day may jump back; nothing is earned then.
-  const double passed = std::max(0.0, absl::ToDoubleSeconds(now - refilled_));
-  refilled_ = now;
-  allowance_ = std::min(options_.burst_lines,
-                        allowance_ + passed * options_.lines_per_second);
+  // The wall clock may jump back; the allowance doesn't grow then.
+  const double elapsed_seconds =
+      std::max(0.0, absl::ToDoubleSeconds(now - refilled_at_));
+  refilled_at_ = now;
+  allowance_ =
+      std::min(options_.burst_lines,
+               allowance_ + elapsed_seconds * options_.lines_per_second);
   if (severity > google::GLOG_INFO) return true;
   if (allowance_ < 1) return false;
   allowance_ -= 1;
@@ -90,7 +92,7 @@
   while (!buffer_.empty()) {
     const ssize_t written =
         write(options_.descriptor, buffer_.data(), buffer_.size());
-    if (written <= 0) return;  // Later, or never: the reader is gone.
+    if (written <= 0) return;  // The rest is written later, if at all.
     buffer_.erase(0, static_cast<std::size_t>(written));
   }
 }
--- a/src/log/bounded_log.h
+++ b/src/log/bounded_log.h
@@ -1,10 +1,9 @@
-// Takes all lines of glog and writes them to standard output without ever
-// waiting, and not more than a bounded volume of them.
+// Writes all glog lines to standard output without blocking and at a limited
+// rate.
 //
-// A reader that stops reading, or an overload in which every request gives
-// several lines, would otherwise stop the process in the middle of a write or
-// cost more than the requests do. What is left out is counted, and a line says
-// how much it was.
+// Without it, a reader that stops reading would block the process in a write,
+// and in an overload, logging several lines per request would cost more than
+// the requests. Dropped lines are counted and their number is logged.
 
 #ifndef GENTIANLB_LOG_BOUNDED_LOG_H_
 #define GENTIANLB_LOG_BOUNDED_LOG_H_
@@ -20,29 +19,29 @@
 
 struct BoundedLogOptions {
   int descriptor = 1;
-  // Lines of the information level; warnings and errors always pass. A host
-  // of today's deployments serves about 40 requests a second at its peak, with
-  // one or two lines each.
+  // Rate limit for lines of level INFO; warnings and errors are not limited. A
+  // host serves about 40 requests per second at its peak, with one or two lines
+  // each.
   double lines_per_second = 200;
   double burst_lines = 1000;
-  // Waits here while the reader doesn't read.
+  // Capacity of the buffer for lines that the reader hasn't read yet.
   std::size_t buffer_bytes = 128 << 10;
 };
 
-// One stands in a process. Not thread-safe beyond glog's own lock.
+// At most one instance per process. Not thread-safe beyond glog's own lock.
 class BoundedLog : public google::LogSink {
  public:
-  // Takes glog over until the end of this object. Each line begins with the
-  // time of day, the level and `name`.
+  // Redirects glog until this object is destroyed. Each line begins with the
+  // UTC time, the level and `name`.
   BoundedLog(BoundedLogOptions options, std::string name);
-  ~BoundedLog() override;  // Writes what it can.
+  ~BoundedLog() override;  // Flushes without blocking.
   BoundedLog(const BoundedLog&) = delete;
   BoundedLog& operator=(const BoundedLog&) = delete;
 
-  // Writes as much as the reader takes now.
+  // Writes as much of the buffer as possible without blocking.
   void Flush();
 
-  std::uint64_t dropped_lines() const { return left_out_; }
+  std::uint64_t dropped_lines() const { return dropped_lines_; }
 
   void send(google::LogSeverity severity, const char* full_filename,
             const char* base_filename, int line,
@@ -57,9 +56,9 @@
   const std::string name_;
   std::string buffer_;
   double allowance_;
-  absl::Time refilled_;
-  std::uint64_t left_out_ = 0;
-  std::uint64_t left_out_told_ = 0;
+  absl::Time refilled_at_;
+  std::uint64_t dropped_lines_ = 0;
+  std::uint64_t reported_dropped_lines_ = 0;
 };
 
 }  // namespace gentianlb::log
--- a/src/metrics/metrics.cc
+++ b/src/metrics/metrics.cc
@@ -5,7 +5,7 @@
 namespace gentianlb::metrics {
 namespace {
 
-// Seconds; 1.1 s is the bound that 95 in 100 first tokens must keep.
+// Bucket limits in seconds; 1.1 s is the target for the 95th percentile.
 const prometheus::Histogram::BucketBoundaries& FirstTokenBuckets() {
   static const auto& bounds = *new prometheus::Histogram::BucketBoundaries{
       0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.1, 2.5, 5, 10, 30, 120};
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -1,4 +1,4 @@
-// The counters and gauges that /metrics shows, by prometheus-cpp. Thread-safe.
+// The metrics of an entry host, exposed under /metrics. Thread-safe.
 
 #ifndef GENTIANLB_METRICS_METRICS_H_
 #define GENTIANLB_METRICS_METRICS_H_
@@ -24,21 +24,22 @@
 
   void CountAccepted(Tier tier);
 
-  // A whole answer; `in_time` when it came before the deadline.
+  // Counts a complete response; `in_time`: it met the deadline.
   void CountAnswered(Tier tier, bool in_time);
   void CountRefused(Tier tier, Code code);
 
-  // Refused before anything of it was scheduled.
+  // Counts a message that was refused before scheduling.
   void CountMalformed(Code code);
   void CountResumed();
   void CountCancelled(Code code);
   void ObserveFirstToken(Tier tier, absl::Duration since_arrival);
 
-  // Gauges and totals that others keep; set when /metrics is read.
+  // Sets a gauge. Used for values that other classes maintain, when /metrics is
+  // read.
   void Set(const std::string& name, const std::string& help,
            const prometheus::Labels& labels, double value);
 
-  // The text form of all.
+  // Returns all metrics in the Prometheus text format.
   std::string Text() const;
 
  private:
