--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -72,7 +72,7 @@
   if (index_ == nullptr) return;
   for (const Service& service : index_->configuration().services) {
     ServiceQueue& queue = QueueOf(service.id);
-    queue.retries().SetSavedRetries(options_.retry_burst / demand_->hosts());
+    queue.retries().SetMaxSavedRetries(options_.retry_burst / demand_->hosts());
     std::vector<schedule::Decision> decisions;
     queue.SetServers(service, directory_->ServersOf(service.id),
                      demand_->hosts(), clock_(), &decisions);
@@ -139,7 +139,7 @@
   const auto kept_responder = exchange.responder;
   Enqueue(exchange, ServerId());
   // Last, because it calls back at once if the caller has disconnected already.
-  kept_responder->OnGone([this, id] {
+  kept_responder->OnDisconnect([this, id] {
     if (Exchange* disconnected = Find(id)) OnCallerDisconnected(*disconnected);
   });
 }
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -120,7 +120,7 @@
 
   // The steps of an attempt.
   void Send(Exchange& exchange, const ServerEntry& server);
-  http::Reading OnHead(Exchange& exchange, ResponseHead head);
+  http::ReadAction OnHead(Exchange& exchange, ResponseHead head);
   void OnBytes(Exchange& exchange, std::string_view bytes);
   void OnTransferEnd(Exchange& exchange, http::TransferEnd end,
                      const std::string& detail);
--- a/src/gateway/forwarder_attempt.cc
+++ b/src/gateway/forwarder_attempt.cc
@@ -58,7 +58,7 @@
   CallSink sink;
   sink.on_head = [this, current](ResponseHead head) {
     Exchange* found = current();
-    return found == nullptr ? http::Reading::kStop
+    return found == nullptr ? http::ReadAction::kStop
                             : OnHead(*found, std::move(head));
   };
   sink.on_data = [this, current](std::string_view bytes) {
@@ -129,22 +129,23 @@
   }
 }
 
-http::Reading Forwarder::OnHead(Exchange& exchange, ResponseHead head) {
+http::ReadAction Forwarder::OnHead(Exchange& exchange, ResponseHead head) {
   if (!head.matches_request) {
     LOG(WARNING) << "event=foreign-answer request=" << exchange.request->id
                  << " server=" << exchange.attempt.server->id;
-    return http::Reading::kStop;
+    return http::ReadAction::kStop;
   }
   const std::optional<ServerLoad> load = head.load;
   exchange.attempt.has_head = true;
   exchange.attempt.head = std::move(head);
-  if (!load) return http::Reading::kGoOn;
+  if (!load) return http::ReadAction::kContinue;
   // Applying the decisions that follow may finish this request too.
   const ExchangeId id = exchange.id;
   NotifyDispatcher(exchange.service->id, schedule::ResponseLoadReported{
                                              exchange.attempt.server->id,
                                              load->running, load->waiting});
-  return Find(id) == nullptr ? http::Reading::kStop : http::Reading::kGoOn;
+  return Find(id) == nullptr ? http::ReadAction::kStop
+                             : http::ReadAction::kContinue;
 }
 
 void Forwarder::OnBytes(Exchange& exchange, std::string_view bytes) {
--- a/src/gateway/forwarder_test.cc
+++ b/src/gateway/forwarder_test.cc
@@ -199,7 +199,7 @@
   ResponseHead head;
   head.status = 200;
   head.matches_request = false;
-  BOOST_TEST((site.last().sink.on_head(head) == http::Reading::kStop));
+  BOOST_TEST((site.last().sink.on_head(head) == http::ReadAction::kStop));
   site.last().SendData("paid");
   site.last().Finish(TransferEnd::kBroken);
   BOOST_TEST(caller->status == 502);
--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -245,7 +245,7 @@
   }
   metrics_.Set("gentianlb_log_lines_left_out",
                "Log lines dropped at the log's size limit", {},
-               static_cast<double>(log_->left_out()));
+               static_cast<double>(log_->dropped_lines()));
   return metrics_.Text();
 }
 
--- a/src/gateway/messages.h
+++ b/src/gateway/messages.h
@@ -94,7 +94,7 @@
 // Receives the response to one attempt, in this order. If the receiver rejects
 // the head, only on_end follows.
 struct CallSink {
-  std::function<http::Reading(ResponseHead head)> on_head;
+  std::function<http::ReadAction(ResponseHead head)> on_head;
   std::function<void(std::string_view bytes)> on_data;
   std::function<void(http::TransferEnd end, std::string detail)> on_end;
 };
--- a/src/gateway/peers.cc
+++ b/src/gateway/peers.cc
@@ -43,7 +43,7 @@
 // Peers learn of a host that is not announced only from its messages, so a
 // delay of a second does no harm.
 constexpr RetryOptions kAnnounceRetry = {.first_delay = absl::Milliseconds(100),
-                                         .longest_delay = absl::Seconds(1)};
+                                         .max_delay = absl::Seconds(1)};
 
 // A host that can't read the table of hosts in this time starts without it, and
 // learns of peers from their messages.
@@ -61,7 +61,7 @@
 
 // Maximum length of an envelope without its content.
 constexpr std::size_t kMaxEnvelopeBytes = 8 << 10;
-static_assert(kMaxChangesBytes + kMaxEnvelopeBytes <= loop::kMostMessageBytes);
+static_assert(kMaxChangesBytes + kMaxEnvelopeBytes <= loop::kMaxMessageBytes);
 
 std::string EncodeEnvelope(const Envelope& envelope) {
   std::ostringstream out;
--- a/src/gateway/table_subscriber.h
+++ b/src/gateway/table_subscriber.h
@@ -87,7 +87,7 @@
   absl::Duration standby_interval = absl::Seconds(1);
   // Short against the two seconds in which a new version must be in force.
   RetryOptions retry = {.first_delay = absl::Milliseconds(50),
-                        .longest_delay = absl::Milliseconds(800)};
+                        .max_delay = absl::Milliseconds(800)};
 };
 
 // How a host subscribes to a table.
