--- a/src/claim/claim_machine.cc
+++ b/src/claim/claim_machine.cc
@@ -235,7 +235,7 @@
   claim.other = row;
   if (other.owner != options_.self) {
     claim.phase = Phase::kAskingOwner;
-    Ask(claim, other.owner, other.token);
+    Query(claim, other.owner, other.token);
   } else if (memory_.IsAbandoned(other.token)) {
     TakeOver(claim);
   } else {
@@ -310,7 +310,7 @@
   }
   std::set<EntryHostId> ask(suspects.to_ask.begin(), suspects.to_ask.end());
   // Whoever asked us about the key may be running it.
-  for (const Promise& promise : claim.promised) ask.insert(promise.asker);
+  for (const Promise& promise : claim.promised) ask.insert(promise.requester);
   // Whoever doesn't know us could run a re-send of what we run, and may have
   // done so and be gone.
   if (coverage_.LostUnaware(claim.first_sent)) suspects.lost = true;
@@ -328,19 +328,19 @@
   claim.phase = Phase::kAskingPeers;
   claim.doubt = suspects.lost;
   if (!claim.doubt) {
-    for (const EntryHostId& peer : ask) Ask(claim, peer, "");
+    for (const EntryHostId& peer : ask) Query(claim, peer, "");
   }
   if (claim.asked.empty()) OnAllAsked(claim);
 }
 
-void ClaimMachine::Ask(Claim& claim, const EntryHostId& peer,
-                       std::string token) {
+void ClaimMachine::Query(Claim& claim, const EntryHostId& peer,
+                         std::string token) {
   ++counters_.questions;
-  CallId call = NewCall(Purpose::kQuestion, claim.id, claim.token);
+  CallId call = NewCall(Purpose::kQuery, claim.id, claim.token);
   claim.asked[call] = peer;
-  PeerQuestion question{claim.request.key, options_.self, options_.incarnation,
-                        std::move(token), claim.version != 0};
-  actions_->push_back(AskCall{call, peer, std::move(question)});
+  PeerQuery query{claim.request.key, options_.self, options_.incarnation,
+                  std::move(token), claim.version != 0};
+  actions_->push_back(AskCall{call, peer, std::move(query)});
 }
 
 void ClaimMachine::OnAnswerOfAsked(Claim& claim, const EntryHostId& peer,
@@ -362,13 +362,13 @@
                             const std::optional<PeerAnswer>& answer) const {
   if (!answer || answer->state != PeerState::kNotHeld) return false;
   // A restarted peer has forgotten what its earlier incarnation ran.
-  if (coverage_.Remembers(answer->knows_since, claim.first_sent)) return true;
+  if (coverage_.Remembers(answer->memory_start, claim.first_sent)) return true;
   if (claim.phase != Phase::kAskingPeers) return false;
   // The very incarnation that the lease, or our promise, is about.
   bool matches = true;
   bool promised = false;
   for (const Promise& promise : claim.promised) {
-    if (promise.asker != peer) continue;
+    if (promise.requester != peer) continue;
     promised = true;
     matches = matches && promise.incarnation == answer->incarnation;
   }
@@ -408,7 +408,7 @@
   claim.doubt = !coverage_.Remembers(started_, claim.first_sent) ||
                 coverage_.AnyLost(claim.first_sent);
   if (!claim.doubt) {
-    for (const EntryHostId& peer : AllOthers()) Ask(claim, peer, "");
+    for (const EntryHostId& peer : AllOthers()) Query(claim, peer, "");
   }
   if (claim.asked.empty()) OnAllAsked(claim);
 }
@@ -478,35 +478,33 @@
 
 // --- Questions of peers -----------------------------------------------------
 
-PeerAnswer ClaimMachine::HandleQuestion(const PeerQuestion& question,
-                                        absl::Time now,
-                                        std::vector<Action>* actions) {
+PeerAnswer ClaimMachine::HandleQuery(const PeerQuery& query, absl::Time now,
+                                     std::vector<Action>* actions) {
   actions_ = actions;
   MoveTime(now);
-  peers_.insert(question.asker);
+  peers_.insert(query.requester);
   PeerAnswer answer{PeerState::kNoPromise, options_.incarnation, started_, {}};
-  AnswerQuestion(question, &answer);
+  AnswerQuery(query, &answer);
   actions_ = nullptr;
   return answer;
 }
 
-void ClaimMachine::AnswerQuestion(const PeerQuestion& question,
-                                  PeerAnswer* answer) {
+void ClaimMachine::AnswerQuery(const PeerQuery& query, PeerAnswer* answer) {
   if (coverage_.superseded()) return;
-  if (Claim* holder = Holder(question.key)) {
-    if (!Yields(*holder, question)) {
+  if (Claim* holder = Holder(query.key)) {
+    if (!Yields(*holder, query)) {
       answer->state = PeerState::kHeld;
       return;
     }
-    GiveAttach(*holder, question.asker);
+    GiveAttach(*holder, query.requester);
   }
-  if (auto ended = memory_.FindEnded(question.key)) {
+  if (auto ended = memory_.FindEnded(query.key)) {
     answer->state = PeerState::kEnded;
     answer->server = ended->server;
-  } else if (memory_.IsAbandoned(question.token)) {
+  } else if (memory_.IsAbandoned(query.token)) {
     answer->state = PeerState::kAbandoned;
-  } else if (memory_.AddPromise(question.key,
-                                {question.asker, question.incarnation, now_})) {
+  } else if (memory_.AddPromise(query.key,
+                                {query.requester, query.incarnation, now_})) {
     answer->state = PeerState::kNotHeld;
   }
 }
@@ -514,14 +512,13 @@
 // Two hosts that ask each other about the same key must not both go on, nor
 // both yield to the other for ever: a row goes before none, and then the
 // lower name goes first.
-bool ClaimMachine::Yields(const Claim& holder,
-                          const PeerQuestion& question) const {
+bool ClaimMachine::Yields(const Claim& holder, const PeerQuery& query) const {
   bool decided =
       holder.phase == Phase::kReady || holder.phase == Phase::kFencing ||
       holder.phase == Phase::kFenceReading || holder.phase == Phase::kRunning;
   if (decided || !holder.request.idempotent) return false;
-  if (!question.token.empty() || holder.version != 0) return false;
-  return question.durable || question.asker < options_.self;
+  if (!query.token.empty() || holder.version != 0) return false;
+  return query.durable || query.requester < options_.self;
 }
 
 // --- Small helpers ----------------------------------------------------------
--- a/src/claim/claim_machine.h
+++ b/src/claim/claim_machine.h
@@ -57,8 +57,8 @@
   void Handle(const Event& event, absl::Time now, std::vector<Action>* actions);
 
   // A peer asks about a key.
-  PeerAnswer HandleQuestion(const PeerQuestion& question, absl::Time now,
-                            std::vector<Action>* actions);
+  PeerAnswer HandleQuery(const PeerQuery& query, absl::Time now,
+                         std::vector<Action>* actions);
 
   // Entry hosts known to membership. They are added: a host that has left may
   // still be running what it ran, and isn't forgotten before a restart.
@@ -135,7 +135,7 @@
     kLateRead,
     kScan,
     kRenew,
-    kQuestion,
+    kQuery,
   };
 
   // What an answer belongs to.
@@ -174,7 +174,7 @@
   void AskAboutUnwritten(Claim& claim);
   void RunWithoutTable(Claim& claim);
   void AskAll(Claim& claim);
-  void Ask(Claim& claim, const EntryHostId& peer, std::string token);
+  void Query(Claim& claim, const EntryHostId& peer, std::string token);
   void OnAnswerOfAsked(Claim& claim, const EntryHostId& peer,
                        const std::optional<PeerAnswer>& answer);
   bool RulesOut(const Claim& claim, const EntryHostId& peer,
@@ -189,8 +189,8 @@
   void MoveTime(absl::Time now);
   absl::Time SentAfter() const;
   absl::Time FirstSent(const ClaimRequest& request) const;
-  void AnswerQuestion(const PeerQuestion& question, PeerAnswer* answer);
-  bool Yields(const Claim& holder, const PeerQuestion& question) const;
+  void AnswerQuery(const PeerQuery& query, PeerAnswer* answer);
+  bool Yields(const Claim& holder, const PeerQuery& query) const;
 
   // Around the dispatch, claim_dispatch.cc.
   bool IsFenced(const Claim& claim) const;
--- a/src/claim/claim_machine_test.cc
+++ b/src/claim/claim_machine_test.cc
@@ -30,10 +30,10 @@
     actions_.clear();
     machine_.Handle(event, now, &actions_);
   }
-  PeerAnswer Ask(const std::string& asker, Incarnation incarnation,
-                 absl::Time now) {
-    return machine_.HandleQuestion(
-        {ClaimKey("key"), EntryHostId(asker), incarnation, "", false}, now,
+  PeerAnswer Query(const std::string& requester, Incarnation incarnation,
+                   absl::Time now) {
+    return machine_.HandleQuery(
+        {ClaimKey("key"), EntryHostId(requester), incarnation, "", false}, now,
         &actions_);
   }
   void Scan(const std::vector<LeaseRow>& leases, absl::Time now) {
@@ -95,8 +95,8 @@
   host.Tell(TimePassed{}, At(0));
   host.Scan({}, At(0));
   host.CommitLast(At(0));
-  BOOST_TEST((host.Ask("a", 1, At(1)).state == PeerState::kNotHeld));
-  BOOST_TEST((host.Ask("c", 1, At(1)).state == PeerState::kNotHeld));
+  BOOST_TEST((host.Query("a", 1, At(1)).state == PeerState::kNotHeld));
+  BOOST_TEST((host.Query("c", 1, At(1)).state == PeerState::kNotHeld));
   host.Open(0, At(2));
   host.CommitLast(At(2));
   BOOST_TEST(host.Taken<AskCall>().size() == 2u);
--- a/src/claim/claim_table.h
+++ b/src/claim/claim_table.h
@@ -19,9 +19,9 @@
 // nothing when the peer gave no answer in time.
 template <typename P>
 concept PeerService =
-    requires(P peers, EntryHostId peer, PeerQuestion question,
+    requires(P peers, EntryHostId peer, PeerQuery query,
              std::function<void(std::optional<PeerAnswer>)> done) {
-  peers.Ask(peer, question, done);
+  peers.Query(peer, query, done);
 };
 
 // Decides right before a dispatch, so it needs the time of that moment and not
@@ -55,13 +55,13 @@
 
   // Must be called after a Proceed and before the first byte leaves; called
   // back without a refusal when it may leave at once.
-  void Dispatching(ClaimId id, ServerId server, OnDispatch on_dispatch) {
+  void RequestDispatch(ClaimId id, ServerId server, OnDispatch on_dispatch) {
     dispatches_[id] = std::move(on_dispatch);
     Run(DispatchWanted{id, std::move(server)});
   }
 
   // The dispatched request ended; `sent` false is certain that no byte left.
-  void Ended(ClaimId id, bool sent) {
+  void FinishDispatch(ClaimId id, bool sent) {
     Run(DispatchEnded{id, sent});
     if (sent) Forget(id);
   }
@@ -73,14 +73,14 @@
   }
 
   // An Attach didn't work; another verdict follows.
-  void FailAttach(ClaimId id, OnVerdict on_verdict) {
+  void OnAttachFailed(ClaimId id, OnVerdict on_verdict) {
     verdicts_[id] = std::move(on_verdict);
     Run(AttachFailed{id});
   }
 
-  PeerAnswer HandleQuestion(const PeerQuestion& question) {
+  PeerAnswer HandleQuery(const PeerQuery& query) {
     std::vector<Action> actions;
-    PeerAnswer answer = machine_.HandleQuestion(question, now_(), &actions);
+    PeerAnswer answer = machine_.HandleQuery(query, now_(), &actions);
     Perform(std::move(actions));
     return answer;
   }
@@ -121,10 +121,10 @@
   }
 
   void Do(AskCall one) {
-    peers_->Ask(std::move(one.peer), std::move(one.question),
-                [this, call = one.call](std::optional<PeerAnswer> answer) {
-                  this->Run(PeerAnswered{call, std::move(answer)});
-                });
+    peers_->Query(std::move(one.peer), std::move(one.query),
+                  [this, call = one.call](std::optional<PeerAnswer> answer) {
+                    this->Run(PeerAnswered{call, std::move(answer)});
+                  });
   }
 
   void Do(VerdictGiven one) {
--- a/src/claim/coverage.cc
+++ b/src/claim/coverage.cc
@@ -126,8 +126,8 @@
   return suspects;
 }
 
-bool Coverage::Remembers(absl::Time knows_since, absl::Time first_sent) const {
-  return first_sent > knows_since + options_.clock_skew;
+bool Coverage::Remembers(absl::Time memory_start, absl::Time first_sent) const {
+  return first_sent > memory_start + options_.clock_skew;
 }
 
 bool Coverage::AnyLost(absl::Time first_sent) const {
--- a/src/claim/coverage.h
+++ b/src/claim/coverage.h
@@ -72,7 +72,7 @@
 
   // Whether a memory that begins at `knows_since` covers the whole life of a
   // key that was never sent before `first_sent`.
-  bool Remembers(absl::Time knows_since, absl::Time first_sent) const;
+  bool Remembers(absl::Time memory_start, absl::Time first_sent) const;
 
   // Whether some host is gone that may have run the key without a row.
   bool AnyLost(absl::Time first_sent) const;
--- a/src/claim/describe.cc
+++ b/src/claim/describe.cc
@@ -15,7 +15,7 @@
   std::ostringstream out;
   for (const auto& [key, askers] : promises_) {
     for (const Promise& promise : askers) {
-      out << "promise " << key << ' ' << promise.asker << ' '
+      out << "promise " << key << ' ' << promise.requester << ' '
           << promise.incarnation << ' ' << Millis(promise.made) << '\n';
     }
   }
@@ -59,7 +59,7 @@
         << " row_sent=" << Millis(claim.row_sent) << " server=" << claim.server;
     if (claim.other) out << " other=" << claim.other->version;
     for (const Promise& promise : claim.promised) {
-      out << " promised=" << promise.asker << promise.incarnation;
+      out << " promised=" << promise.requester << promise.incarnation;
     }
     for (const auto& [call, peer] : claim.asked) out << ' ' << call << peer;
     out << '\n';
--- a/src/claim/explore_test.cc
+++ b/src/claim/explore_test.cc
@@ -86,7 +86,7 @@
   store::Transaction transaction;
   std::vector<std::string> keys;
   int peer = 0;
-  PeerQuestion question;
+  PeerQuery query;
   PeerAnswer answer;
   bool orphaned = false;  // Nobody waits for the answer any more.
 };
@@ -271,7 +271,7 @@
   void Do(int host, AskCall one) {
     Message message = NewMessage(MessageKind::kAsk, host, one.call);
     message.peer = one.peer.str()[0] - 'a';
-    message.question = std::move(one.question);
+    message.query = std::move(one.query);
     messages_.push_back(std::move(message));
   }
   void Do(int /*host*/, const VerdictGiven& one) {
@@ -338,7 +338,7 @@
     Trace("deliver " + std::to_string(static_cast<int>(m.kind)) + " of " +
           Name(m.host).str() + " fate " +
           std::to_string(static_cast<int>(fate)));
-    if (m.kind == MessageKind::kAsk) return DeliverQuestion(m);
+    if (m.kind == MessageKind::kAsk) return DeliverQuery(m);
     if (m.kind == MessageKind::kAnswer) {
       return Reply(m, PeerAnswered{m.call, m.answer});
     }
@@ -398,7 +398,7 @@
     return rows;
   }
 
-  void DeliverQuestion(const Message& m) {
+  void DeliverQuery(const Message& m) {
     if (!Awake(m.peer) || peers_cut_) {
       Reply(m, PeerAnswered{m.call, std::nullopt});
       return;
@@ -406,8 +406,7 @@
     std::vector<Action> actions;
     Message answer = m;
     answer.kind = MessageKind::kAnswer;
-    answer.answer =
-        MachineOf(m.peer).HandleQuestion(m.question, now_, &actions);
+    answer.answer = MachineOf(m.peer).HandleQuery(m.query, now_, &actions);
     messages_.push_back(std::move(answer));
     Perform(m.peer, std::move(actions));
   }
--- a/src/claim/key_memory.cc
+++ b/src/claim/key_memory.cc
@@ -9,7 +9,7 @@
   if (!known && promises_.size() >= kMaxEntries) return false;
   std::vector<Promise>& askers = promises_[key];
   std::erase_if(askers, [&](const Promise& earlier) {
-    return earlier.asker == promise.asker &&
+    return earlier.requester == promise.requester &&
            earlier.incarnation == promise.incarnation;
   });
   askers.push_back(std::move(promise));
--- a/src/claim/key_memory.h
+++ b/src/claim/key_memory.h
@@ -19,7 +19,7 @@
 // This host told `asker` that it hasn't got the key, and won't run it without a
 // row in the table.
 struct Promise {
-  EntryHostId asker;
+  EntryHostId requester;
   Incarnation incarnation = 0;  // Of the asker.
   absl::Time made;
   bool operator==(const Promise&) const = default;
--- a/src/claim/messages.h
+++ b/src/claim/messages.h
@@ -51,7 +51,7 @@
 
 // --- Verdicts ---------------------------------------------------------------
 
-// The claim is held here; it may be dispatched after Dispatching().
+// The claim is held here; it may be dispatched after RequestDispatch().
 struct Proceed {
   bool operator==(const Proceed&) const = default;
 };
@@ -64,12 +64,12 @@
 
 // It was dispatched, and its owner is gone or has forgotten the stream. Look
 // for the stream called `key` at `server`, or at each server of the service
-// when `server` is empty; when there is none: kAnswerGone if `ended`, else
+// when `server` is empty; when there is none: kAnswerGone if `finished`, else
 // kClaimInDoubt. Never dispatch.
 struct Resume {
   ClaimKey key;
   ServerId server;
-  bool ended = false;
+  bool finished = false;
   bool operator==(const Resume&) const = default;
 };
 
@@ -86,13 +86,13 @@
 
 // "Have you got this key?" The one who answers that it hasn't also promises
 // not to dispatch the key without a row in the table.
-struct PeerQuestion {
+struct PeerQuery {
   ClaimKey key;
-  EntryHostId asker;
+  EntryHostId requester;
   Incarnation incarnation = 0;  // Of the asker.
   std::string token;     // Of the row found, if any: the claim asked for.
   bool durable = false;  // The asker has its own row in the table.
-  bool operator==(const PeerQuestion&) const = default;
+  bool operator==(const PeerQuery&) const = default;
 };
 
 enum class PeerState {
@@ -107,7 +107,7 @@
   PeerState state = PeerState::kNoPromise;
   Incarnation incarnation = 0;
   // Earlier keys may have been forgotten by this host.
-  absl::Time knows_since = absl::InfiniteFuture();
+  absl::Time memory_start = absl::InfiniteFuture();
   ServerId server;
   bool operator==(const PeerAnswer&) const = default;
 };
@@ -189,7 +189,7 @@
 struct AskCall {
   CallId call = 0;
   EntryHostId peer;
-  PeerQuestion question;
+  PeerQuery query;
   bool operator==(const AskCall&) const = default;
 };
 
--- a/src/entry/calls_claim.cc
+++ b/src/entry/calls_claim.cc
@@ -130,7 +130,7 @@
 }
 
 void Calls::AttachFailed(const CallPtr& call) {
-  claims_->FailAttach(call->claim, VerdictHandler(call->id));
+  claims_->OnAttachFailed(call->claim, VerdictHandler(call->id));
 }
 
 // A verdict may be given before the call that asks for it returns; posting it
@@ -145,10 +145,10 @@
 }
 
 void Calls::ReadElsewhere(const CallPtr& call, const claim::Resume& resume) {
-  call->search_ended = resume.ended;
+  call->search_ended = resume.finished;
   if (call->request.kind == config::ServiceKind::kPlain) {
     // A plain service keeps no answers.
-    Code code = resume.ended ? Code::kKeyAlreadyRun : Code::kClaimInDoubt;
+    Code code = resume.finished ? Code::kKeyAlreadyRun : Code::kClaimInDoubt;
     GiveUp(call, {{code, "its answer can't be read again"}, kAskAgain});
     return;
   }
--- a/src/entry/calls_dispatch.cc
+++ b/src/entry/calls_dispatch.cc
@@ -30,7 +30,7 @@
     return;
   }
   call->phase = Call::Phase::kSending;
-  claims_->Dispatching(
+  claims_->RequestDispatch(
       call->claim, call->server,
       [this, id = call->id](const std::optional<claim::Refuse>& refusal) {
         CallPtr found = Find(id);
@@ -40,7 +40,7 @@
           return;
         }
         // It was not sent, and under this claim it won't be.
-        claims_->Ended(found->claim, /*sent=*/false);
+        claims_->FinishDispatch(found->claim, /*sent=*/false);
         Tell(*found,
              schedule::RequestEnded{found->id, schedule::EndKind::kCancelled});
         GivenUp why = found->stop.has_value()
@@ -118,7 +118,7 @@
   if (call->stop.has_value()) {
     Tell(*call, schedule::RequestEnded{call->id, schedule::EndKind::kCancelled,
                                        end.next_offset, 0});
-    if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
+    if (call->claim != 0) claims_->FinishDispatch(call->claim, /*sent=*/true);
     GiveUp(call, *call->stop);
     return;
   }
@@ -141,7 +141,7 @@
   if (!reading) {
     Tell(*call, schedule::RequestEnded{call->id, schedule::EndKind::kBroken,
                                        end.next_offset, 0});
-    if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
+    if (call->claim != 0) claims_->FinishDispatch(call->claim, /*sent=*/true);
   }
   GiveUp(call, {end.error, absl::ZeroDuration()});
 }
@@ -151,7 +151,7 @@
   call->phase = Call::Phase::kWaiting;
   call->relay.reset();
   call->server = ServerId();
-  if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/false);
+  if (call->claim != 0) claims_->FinishDispatch(call->claim, /*sent=*/false);
   Tell(*call,
        schedule::RequestEnded{call->id, schedule::EndKind::kNotSent, 0, 0});
 }
@@ -170,7 +170,7 @@
     Tell(*call,
          schedule::RequestEnded{call->id, schedule::EndKind::kComplete,
                                 end.next_offset, end.usage.cached_tokens});
-    if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
+    if (call->claim != 0) claims_->FinishDispatch(call->claim, /*sent=*/true);
   } else if (call->claim != 0) {
     claims_->Abandon(call->claim);
   }
@@ -184,7 +184,7 @@
     if (call->phase == Call::Phase::kRunning) {
       Tell(*call, schedule::RequestEnded{call->id, schedule::EndKind::kBroken,
                                          call->tokens, 0});
-      if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
+      if (call->claim != 0) claims_->FinishDispatch(call->claim, /*sent=*/true);
     }
     GiveUp(call, {error, absl::ZeroDuration()});
     return;
--- a/src/entry/claims.h
+++ b/src/entry/claims.h
@@ -19,8 +19,8 @@
  public:
   explicit PeerAsker(Peers* peers) : peers_(peers) {}
 
-  void Ask(const EntryHostId& peer, const claim::PeerQuestion& question,
-           std::function<void(std::optional<claim::PeerAnswer>)> done);
+  void Query(const EntryHostId& peer, const claim::PeerQuery& query,
+             std::function<void(std::optional<claim::PeerAnswer>)> done);
 
  private:
   Peers* peers_;
--- a/tests/claims/claim_outage.cc
+++ b/tests/claims/claim_outage.cc
@@ -140,8 +140,8 @@
 struct FakePeers {
   Site* site;
   int self;
-  void Ask(const EntryHostId& peer, const PeerQuestion& question,
-           std::function<void(std::optional<PeerAnswer>)> done);
+  void Query(const EntryHostId& peer, const PeerQuery& query,
+             std::function<void(std::optional<PeerAnswer>)> done);
 };
 
 // The table through a host of another zone.
@@ -283,13 +283,14 @@
   }
 
   void Run(int h, ClaimId claim, const std::string& key) {
-    At(h).claims->Dispatching(
+    At(h).claims->RequestDispatch(
         claim, ServerId("s"),
         [this, h, claim, key](const std::optional<Refuse>& refusal) {
           if (refusal) return;
           if (++executions[key] > 1) ++doubles;
-          agenda.At(agenda.now() + kRunTime,
-                    [this, h, claim] { At(h).claims->Ended(claim, true); });
+          agenda.At(agenda.now() + kRunTime, [this, h, claim] {
+            At(h).claims->FinishDispatch(claim, true);
+          });
         });
   }
 
@@ -310,12 +311,12 @@
   return reachable ? site->At(other).table.get() : nullptr;
 }
 
-void FakePeers::Ask(const EntryHostId& peer, const PeerQuestion& question,
-                    std::function<void(std::optional<PeerAnswer>)> done) {
+void FakePeers::Query(const EntryHostId& peer, const PeerQuery& query,
+                      std::function<void(std::optional<PeerAnswer>)> done) {
   int to = std::stoi(peer.str());
-  site->agenda.Soon([this, to, question, done = std::move(done)] {
+  site->agenda.Soon([this, to, query, done = std::move(done)] {
     if (!site->Linked(self, to)) return done(std::nullopt);
-    done(site->At(to).claims->HandleQuestion(question));
+    done(site->At(to).claims->HandleQuery(query));
   });
 }
 
