--- a/src/claim/claim_dispatch.cc
+++ b/src/claim/claim_dispatch.cc
@@ -8,14 +8,14 @@
 namespace gentianlb::claim {
 namespace {
 
-constexpr absl::Duration kComeBack = absl::Seconds(2);
+constexpr absl::Duration kRetryAfter = absl::Seconds(2);
 
 }  // namespace
 
-void ClaimMachine::On(const DispatchWanted& event) {
+void ClaimMachine::On(const DispatchRequested& event) {
   Claim* claim = Find(event.id);
   if (claim == nullptr || claim->phase != Phase::kReady) {
-    Refuse refusal{{Code::kClaimHeldElsewhere, "not held here"}, kComeBack};
+    Refuse refusal{{Code::kClaimHeldElsewhere, "not held here"}, kRetryAfter};
     actions_->push_back(DispatchAnswered{event.id, std::move(refusal)});
     return;
   }
@@ -27,11 +27,11 @@
   }
 }
 
-void ClaimMachine::On(const DispatchEnded& event) {
+void ClaimMachine::On(const DispatchFinished& event) {
   Claim* claim = Find(event.id);
   if (claim == nullptr || claim->phase != Phase::kRunning) return;
   if (event.sent) {
-    End(*claim);
+    Finish(*claim);
   } else {
     claim->phase = Phase::kReady;
   }
@@ -72,7 +72,7 @@
   if (!found || found->token != claim.token) {
     // Another host has replaced the row while this one was slow.
     RefuseDispatch(claim, Code::kClaimHeldElsewhere);
-    LetGo(claim);
+    Release(claim);
     claims_.erase(claim.id);
     return;
   }
@@ -88,15 +88,15 @@
 
 void ClaimMachine::AllowDispatch(Claim& claim) {
   claim.phase = Phase::kRunning;
-  auto late = late_.find(claim.token);
-  if (late != late_.end()) {
-    late->second.row = RowOf(claim, RowState::kDispatched);
+  auto deferred = deferred_.find(claim.token);
+  if (deferred != deferred_.end()) {
+    deferred->second.row = RowOf(claim, RowState::kDispatched);
   }
   actions_->push_back(DispatchAnswered{claim.id, std::nullopt});
 }
 
 void ClaimMachine::RefuseDispatch(Claim& claim, Code code) {
-  Refuse refusal{{code, ""}, kComeBack};
+  Refuse refusal{{code, ""}, kRetryAfter};
   actions_->push_back(DispatchAnswered{claim.id, std::move(refusal)});
 }
 
@@ -105,9 +105,9 @@
          claim.version, Encode(RowOf(claim, state)));
 }
 
-void ClaimMachine::End(Claim& claim) {
+void ClaimMachine::Finish(Claim& claim) {
   const ClaimRequest& request = claim.request;
-  memory_.AddEnded(request.key, {claim.server, request.body_digest, now_});
+  memory_.AddFinished(request.key, {claim.server, request.body_digest, now_});
   if (!request.idempotent) WriteProgress(claim, RowState::kDone);
   holders_.erase(request.key);
   claims_.erase(claim.id);
@@ -119,7 +119,7 @@
 // leaves; whoever replaces it first, another host or the owner, may dispatch,
 // and the other one can't. A claim made without the table has no row to fence.
 bool ClaimMachine::IsFenced(const Claim& claim) const {
-  return !late_.contains(claim.token);
+  return !deferred_.contains(claim.token);
 }
 
 ClaimRow ClaimMachine::RowOf(const Claim& claim, RowState state) const {
--- a/src/claim/claim_machine.cc
+++ b/src/claim/claim_machine.cc
@@ -12,11 +12,11 @@
 
 // When a refused caller may come back: the table's breaker tries once a second,
 // and a lease lapses within its term.
-constexpr absl::Duration kComeBack = absl::Seconds(2);
-constexpr absl::Duration kComeBackInDoubt = absl::Seconds(15);
+constexpr absl::Duration kRetryAfter = absl::Seconds(2);
+constexpr absl::Duration kRetryAfterInDoubt = absl::Seconds(15);
 
 // The control thread's own tick, for what has no time of its own.
-constexpr absl::Duration kTick = absl::Seconds(1);
+constexpr absl::Duration kTickInterval = absl::Seconds(1);
 
 }  // namespace
 
@@ -32,8 +32,8 @@
 void ClaimMachine::Handle(const Event& event, absl::Time now,
                           std::vector<Action>* actions) {
   actions_ = actions;
-  MoveTime(now);
-  std::visit([this](const auto& one) { On(one); }, event);
+  AdvanceTime(now);
+  std::visit([this](const auto& typed) { On(typed); }, event);
   actions_ = nullptr;
 }
 
@@ -43,11 +43,11 @@
 }
 
 absl::Time ClaimMachine::NextWakeup() const {
-  absl::Time next = std::min(next_scan_, now_ + kTick);
-  return scanning_ ? now_ + kTick : next;
+  absl::Time next = std::min(next_scan_, now_ + kTickInterval);
+  return scanning_ ? now_ + kTickInterval : next;
 }
 
-void ClaimMachine::MoveTime(absl::Time now) {
+void ClaimMachine::AdvanceTime(absl::Time now) {
   if (now - now_ > options_.pause_gap) {
     bool apart = now_ - awake_since_ > options_.max_transit;
     if (apart) paused_from_ = now_;
@@ -58,13 +58,13 @@
 
 // A message that arrives now was not sent before this: the HTTP server bounds
 // its way, except that it may have waited in a socket while we were paused.
-absl::Time ClaimMachine::SentAfter() const {
+absl::Time ClaimMachine::EarliestSendTime() const {
   absl::Time usual = now_ - options_.max_transit;
   return usual < awake_since_ ? paused_from_ - options_.max_transit : usual;
 }
 
-absl::Time ClaimMachine::FirstSent(const ClaimRequest& request) const {
-  absl::Time bound = SentAfter();
+absl::Time ClaimMachine::EarliestFirstSend(const ClaimRequest& request) const {
+  absl::Time bound = EarliestSendTime();
   if (request.attempt != 1) bound -= options_.coverage.key_window;
   if (!request.key_time) return bound;
   return std::max(bound, *request.key_time - options_.coverage.clock_skew);
@@ -72,18 +72,18 @@
 
 // --- Events -----------------------------------------------------------------
 
-void ClaimMachine::On(const Opened& event) {
+void ClaimMachine::On(const ClaimOpened& event) {
   ++counters_.opened;
   Claim& claim = claims_[event.id];
   claim.id = event.id;
   claim.request = event.request;
-  claim.first_sent = FirstSent(event.request);
+  claim.first_sent = EarliestFirstSend(event.request);
   Begin(claim);
 }
 
 void ClaimMachine::On(const AttachFailed& event) {
   Claim* claim = Find(event.id);
-  if (claim == nullptr || claim->phase != Phase::kElsewhere) return;
+  if (claim == nullptr || claim->phase != Phase::kAttached) return;
   // Start again as a re-send: the owner may have run it or closed its row.
   Claim again;
   again.id = claim->id;
@@ -94,14 +94,14 @@
   Begin(*claim);
 }
 
-void ClaimMachine::On(const Abandoned& event) {
+void ClaimMachine::On(const ClaimAbandoned& event) {
   Claim* claim = Find(event.id);
   if (claim == nullptr) return;
   if (claim->phase == Phase::kRunning) {
-    End(*claim);
+    Finish(*claim);
     return;
   }
-  LetGo(*claim);
+  Release(*claim);
   claims_.erase(event.id);
 }
 
@@ -110,13 +110,13 @@
   if (node.empty()) return;
   Claim* claim = Find(node.mapped().claim);
   if (claim == nullptr) return;
-  auto asked = claim->asked.extract(event.call);
-  if (asked.empty()) return;
-  if (event.answer) introduced_.insert(asked.mapped());
-  if (claim->phase == Phase::kAskingOwner) {
-    OnOwnerAnswered(*claim, event.answer);
+  auto query = claim->queries.extract(event.call);
+  if (query.empty()) return;
+  if (event.answer) aware_peers_.insert(query.mapped());
+  if (claim->phase == Phase::kQueryingOwner) {
+    OnOwnerAnswer(*claim, event.answer);
   } else {
-    OnAnswerOfAsked(*claim, asked.mapped(), event.answer);
+    OnPeerAnswer(*claim, query.mapped(), event.answer);
   }
 }
 
@@ -129,7 +129,7 @@
   }
   const ClaimRequest& request = claim.request;
   // Several sendings of one key at this host share one claim.
-  if (Claim* holder = Holder(request.key)) {
+  if (Claim* holder = FindHolder(request.key)) {
     if (holder->request.body_digest != request.body_digest) {
       GiveRefusal(claim, Code::kKeyReused, "");
     } else {
@@ -137,20 +137,21 @@
     }
     return;
   }
-  if (std::optional<EndedKey> ended = memory_.FindEnded(request.key)) {
-    if (ended->body_digest != request.body_digest) {
+  if (std::optional<FinishedKey> finished = memory_.FindFinished(request.key)) {
+    if (finished->body_digest != request.body_digest) {
       GiveRefusal(claim, Code::kKeyReused, "");
     } else if (!request.idempotent) {
-      GiveRefusal(claim, Code::kKeyAlreadyRun, "ran at " + ended->server.str());
+      GiveRefusal(claim, Code::kKeyAlreadyRun,
+                  "ran at " + finished->server.str());
     } else {
-      GiveResume(claim, ended->server, true);
+      GiveResume(claim, finished->server, true);
     }
     return;
   }
   holders_[request.key] = claim.id;
   claim.token = absl::StrCat(options_.self.str(), "/", options_.incarnation,
                              "/", next_token_++);
-  claim.promised = memory_.FindPromises(request.key);
+  claim.promises = memory_.FindPromises(request.key);
   if (table_up_) {
     WriteRow(claim);
   } else {
@@ -161,10 +162,10 @@
 void ClaimMachine::WriteRow(Claim& claim) {
   claim.phase = Phase::kWriting;
   // The first sending counts: any of them may be the one that took effect.
-  if (!claim.maybe_row) claim.row_sent = now_;
-  claim.maybe_row = true;
+  if (!claim.row_may_exist) claim.row_sent = now_;
+  claim.row_may_exist = true;
   Commit(Purpose::kClaimWrite, claim.id, claim.token, RowKey(claim.request.key),
-         claim.base, Encode(RowOf(claim, RowState::kClaimed)));
+         claim.replaced_version, Encode(RowOf(claim, RowState::kClaimed)));
 }
 
 void ClaimMachine::ReadRow(Claim& claim, Phase phase) {
@@ -177,8 +178,8 @@
   if (claim.phase != Phase::kWriting) return;
   switch (result.state) {
     case store::CommitState::kCommitted:
-      OnDurable(claim, result.versions.empty() ? claim.base + 1
-                                               : result.versions[0].version);
+      OnRowDurable(claim, result.versions.empty() ? claim.replaced_version + 1
+                                                  : result.versions[0].version);
       return;
     case store::CommitState::kConflict:
     case store::CommitState::kUnknown:
@@ -195,7 +196,7 @@
 void ClaimMachine::OnRowRead(Claim& claim, const store::Row* row) {
   if (claim.phase != Phase::kReading) return;
   if (row == nullptr) {
-    claim.base = 0;
+    claim.replaced_version = 0;
     WriteRow(claim);
     return;
   }
@@ -203,16 +204,16 @@
   if (!found) {
     GiveRefusal(claim, Code::kClaimInDoubt, "the row can't be read");
   } else if (found->token == claim.token) {
-    OnDurable(claim, row->version);
+    OnRowDurable(claim, row->version);
   } else {
-    OnOthersRow(claim, *row, *found);
+    OnForeignRow(claim, *row, *found);
   }
 }
 
 void ClaimMachine::OnTableFailed(Claim& claim) {
   if (!claim.request.idempotent) {
-    GiveRefusal(claim, DownCode(claim), "the table does not answer");
-  } else if (coverage_.Lapsed(now_)) {
+    GiveRefusal(claim, TableDownCode(claim), "the table does not answer");
+  } else if (coverage_.HasLapsed(now_)) {
     RunWithoutTable(claim);
   } else {
     // Peers still count on this host's rows until its lease lapses.
@@ -222,84 +223,84 @@
 
 // --- Another's row ----------------------------------------------------------
 
-void ClaimMachine::OnOthersRow(Claim& claim, const store::Row& row,
-                               const ClaimRow& other) {
-  if (other.body_digest != claim.request.body_digest) {
+void ClaimMachine::OnForeignRow(Claim& claim, const store::Row& row,
+                                const ClaimRow& foreign) {
+  if (foreign.body_digest != claim.request.body_digest) {
     GiveRefusal(claim, Code::kKeyReused, "");
     return;
   }
-  if (other.state == RowState::kDone && !claim.request.idempotent) {
-    GiveRefusal(claim, Code::kKeyAlreadyRun, "ran at " + other.server.str());
+  if (foreign.state == RowState::kDone && !claim.request.idempotent) {
+    GiveRefusal(claim, Code::kKeyAlreadyRun, "ran at " + foreign.server.str());
     return;
   }
-  claim.other = row;
-  if (other.owner != options_.self) {
-    claim.phase = Phase::kAskingOwner;
-    Query(claim, other.owner, other.token);
-  } else if (memory_.IsAbandoned(other.token)) {
+  claim.found_row = row;
+  if (foreign.owner != options_.self) {
+    claim.phase = Phase::kQueryingOwner;
+    Query(claim, foreign.owner, foreign.token);
+  } else if (memory_.IsAbandoned(foreign.token)) {
     TakeOver(claim);
   } else {
-    OnOwnerGone(claim, other);
+    OnOwnerUnavailable(claim, foreign);
   }
 }
 
-void ClaimMachine::OnOwnerAnswered(Claim& claim,
-                                   const std::optional<PeerAnswer>& answer) {
-  std::optional<ClaimRow> other = DecodeClaim(claim.other->value);
+void ClaimMachine::OnOwnerAnswer(Claim& claim,
+                                 const std::optional<PeerAnswer>& answer) {
+  std::optional<ClaimRow> foreign = DecodeClaim(claim.found_row->value);
   PeerState state = answer ? answer->state : PeerState::kNoPromise;
   if (state == PeerState::kHeld && !claim.attach_failed) {
-    GiveAttach(claim, other->owner);
+    GiveAttach(claim, foreign->owner);
   } else if (state == PeerState::kAbandoned) {
     TakeOver(claim);
-  } else if (state == PeerState::kEnded && claim.request.idempotent) {
+  } else if (state == PeerState::kFinished && claim.request.idempotent) {
     GiveResume(claim, answer->server, true);
-  } else if (state == PeerState::kEnded) {
+  } else if (state == PeerState::kFinished) {
     GiveRefusal(claim, Code::kKeyAlreadyRun, "ran at " + answer->server.str());
   } else {
-    OnOwnerGone(claim, *other);
+    OnOwnerUnavailable(claim, *foreign);
   }
 }
 
 // The owner is dead, cut off, or has forgotten the key.
-void ClaimMachine::OnOwnerGone(Claim& claim, const ClaimRow& other) {
-  if (other.fenced && other.state == RowState::kClaimed) {
+void ClaimMachine::OnOwnerUnavailable(Claim& claim, const ClaimRow& foreign) {
+  if (foreign.fenced && foreign.state == RowState::kClaimed) {
     // Whatever the owner does, it must replace this very row before its first
     // byte leaves, and our row makes that fail.
     TakeOver(claim);
   } else if (claim.request.idempotent) {
-    GiveResume(claim, other.server, false);
+    GiveResume(claim, foreign.server, false);
   } else {
     GiveRefusal(claim, Code::kClaimInDoubt,
-                "sent to " + other.server.str() + " by a host that is gone");
+                "sent to " + foreign.server.str() + " by a host that is gone");
   }
 }
 
 void ClaimMachine::TakeOver(Claim& claim) {
-  claim.base = claim.other->version;
+  claim.replaced_version = claim.found_row->version;
   WriteRow(claim);
 }
 
 // --- A row of our own -------------------------------------------------------
 
-void ClaimMachine::OnDurable(Claim& claim, store::RowVersion version) {
+void ClaimMachine::OnRowDurable(Claim& claim, store::RowVersion version) {
   claim.version = version;
-  AskAboutUnwritten(claim);
+  CheckUnrecordedRuns(claim);
 }
 
 // The row is ours. A host that had lost the table may have run the key without
 // a row; a marked first sending rules that out, and so do current leases.
-void ClaimMachine::AskAboutUnwritten(Claim& claim) {
+void ClaimMachine::CheckUnrecordedRuns(Claim& claim) {
   const ClaimRequest& request = claim.request;
-  bool unmarked_but_sure =
-      request.attempt == 0 && coverage_.KnowsAll(claim.first_sent);
-  bool first_sending = request.attempt == 1 || unmarked_but_sure;
-  bool may_have_run = claim.attach_failed || !first_sending;
+  bool unmarked_but_certain =
+      request.attempt == 0 && coverage_.HasFullMemory(claim.first_sent);
+  bool first_attempt = request.attempt == 1 || unmarked_but_certain;
+  bool may_have_run = claim.attach_failed || !first_attempt;
   // A call that may not be repeated is never run without a row, by anyone.
   if (!request.idempotent) {
     GiveProceed(claim);
     return;
   }
-  if (!coverage_.registered() || !coverage_.FreshScan(now_)) {
+  if (!coverage_.registered() || !coverage_.IsScanFresh(now_)) {
     claim.phase = Phase::kAwaitingScan;
     StartScan();
     return;
@@ -308,66 +309,67 @@
   if (may_have_run) {
     suspects = coverage_.FindSuspects(claim.row_sent, claim.first_sent, now_);
   }
-  std::set<EntryHostId> ask(suspects.to_ask.begin(), suspects.to_ask.end());
+  std::set<EntryHostId> peers(suspects.to_query.begin(),
+                              suspects.to_query.end());
   // Whoever asked us about the key may be running it.
-  for (const Promise& promise : claim.promised) ask.insert(promise.requester);
+  for (const Promise& promise : claim.promises) peers.insert(promise.requester);
   // Whoever doesn't know us could run a re-send of what we run, and may have
   // done so and be gone.
-  if (coverage_.LostUnaware(claim.first_sent)) suspects.lost = true;
-  for (const EntryHostId& host : coverage_.Unaware()) {
-    if (!introduced_.contains(host)) ask.insert(host);
+  if (coverage_.AnyLostRunUnaware(claim.first_sent)) suspects.lost_run = true;
+  for (const EntryHostId& host : coverage_.UnawareHosts()) {
+    if (!aware_peers_.contains(host)) peers.insert(host);
   }
   // The owner of the row that ours replaced had claimed the key by that row, so
   // it must replace it before it dispatches, and can't any more. Asking it
   // would keep a key that waited on a dead host in doubt until the host is
   // replaced.
-  if (claim.base != 0 && claim.other.has_value()) {
-    std::optional<ClaimRow> replaced = DecodeClaim(claim.other->value);
-    if (replaced.has_value()) ask.erase(replaced->owner);
+  if (claim.replaced_version != 0 && claim.found_row.has_value()) {
+    std::optional<ClaimRow> replaced = DecodeClaim(claim.found_row->value);
+    if (replaced.has_value()) peers.erase(replaced->owner);
   }
-  claim.phase = Phase::kAskingPeers;
-  claim.doubt = suspects.lost;
-  if (!claim.doubt) {
-    for (const EntryHostId& peer : ask) Query(claim, peer, "");
+  claim.phase = Phase::kQueryingPeers;
+  claim.in_doubt = suspects.lost_run;
+  if (!claim.in_doubt) {
+    for (const EntryHostId& peer : peers) Query(claim, peer, "");
   }
-  if (claim.asked.empty()) OnAllAsked(claim);
+  if (claim.queries.empty()) OnAllPeersAnswered(claim);
 }
 
 void ClaimMachine::Query(Claim& claim, const EntryHostId& peer,
                          std::string token) {
-  ++counters_.questions;
+  ++counters_.queries;
   CallId call = NewCall(Purpose::kQuery, claim.id, claim.token);
-  claim.asked[call] = peer;
+  claim.queries[call] = peer;
   PeerQuery query{claim.request.key, options_.self, options_.incarnation,
                   std::move(token), claim.version != 0};
-  actions_->push_back(AskCall{call, peer, std::move(query)});
+  actions_->push_back(QueryCall{call, peer, std::move(query)});
 }
 
-void ClaimMachine::OnAnswerOfAsked(Claim& claim, const EntryHostId& peer,
-                                   const std::optional<PeerAnswer>& answer) {
+void ClaimMachine::OnPeerAnswer(Claim& claim, const EntryHostId& peer,
+                                const std::optional<PeerAnswer>& answer) {
   if (answer && answer->state == PeerState::kHeld) {
     GiveAttach(claim, peer);
     return;
   }
-  if (answer && answer->state == PeerState::kEnded) {
+  if (answer && answer->state == PeerState::kFinished) {
     GiveResume(claim, answer->server, true);
     return;
   }
-  if (!RulesOut(claim, peer, answer)) claim.doubt = true;
-  if (claim.asked.empty()) OnAllAsked(claim);
+  if (!ProvesNotRun(claim, peer, answer)) claim.in_doubt = true;
+  if (claim.queries.empty()) OnAllPeersAnswered(claim);
 }
 
 // Whether the answer proves that `peer` hasn't run the key, and won't.
-bool ClaimMachine::RulesOut(const Claim& claim, const EntryHostId& peer,
-                            const std::optional<PeerAnswer>& answer) const {
+bool ClaimMachine::ProvesNotRun(const Claim& claim, const EntryHostId& peer,
+                                const std::optional<PeerAnswer>& answer) const {
   if (!answer || answer->state != PeerState::kNotHeld) return false;
   // A restarted peer has forgotten what its earlier incarnation ran.
-  if (coverage_.Remembers(answer->memory_start, claim.first_sent)) return true;
-  if (claim.phase != Phase::kAskingPeers) return false;
+  if (coverage_.SpansKey(answer->memory_start, claim.first_sent)) return true;
+  if (claim.phase != Phase::kQueryingPeers) return false;
   // The very incarnation that the lease, or our promise, is about.
   bool matches = true;
   bool promised = false;
-  for (const Promise& promise : claim.promised) {
+  for (const Promise& promise : claim.promises) {
     if (promise.requester != peer) continue;
     promised = true;
     matches = matches && promise.incarnation == answer->incarnation;
@@ -376,41 +378,41 @@
   return answer->incarnation == coverage_.IncarnationOf(peer);
 }
 
-void ClaimMachine::OnAllAsked(Claim& claim) {
-  if (!claim.doubt) {
+void ClaimMachine::OnAllPeersAnswered(Claim& claim) {
+  if (!claim.in_doubt) {
     GiveProceed(claim);
-  } else if (claim.phase == Phase::kAskingPeers) {
+  } else if (claim.phase == Phase::kQueryingPeers) {
     GiveRefusal(claim, Code::kClaimInDoubt, "a host that may know is away");
   } else {
-    GiveRefusal(claim, DownCode(claim), "the table and a peer are away");
+    GiveRefusal(claim, TableDownCode(claim), "the table and a peer are away");
   }
 }
 
 // --- Without the table ------------------------------------------------------
 
 void ClaimMachine::RunWithoutTable(Claim& claim) {
-  bool first = claim.request.attempt == 1 && claim.promised.empty() &&
+  bool first = claim.request.attempt == 1 && claim.promises.empty() &&
                !claim.attach_failed;
   // The key was first sent after our lease had lapsed, so whoever gets a
   // re-send sees the lapse and asks us.
   bool after_lapse =
-      coverage_.Remembers(coverage_.LapseTime(), claim.first_sent);
+      coverage_.SpansKey(coverage_.LapseTime(), claim.first_sent);
   if (first && after_lapse) {
     GiveProceed(claim);
   } else {
-    AskAll(claim);
+    QueryAllPeers(claim);
   }
 }
 
-void ClaimMachine::AskAll(Claim& claim) {
-  claim.phase = Phase::kAskingAll;
+void ClaimMachine::QueryAllPeers(Claim& claim) {
+  claim.phase = Phase::kQueryingAllPeers;
   // What this host, or one that is gone, ran and forgot can't be asked.
-  claim.doubt = !coverage_.Remembers(started_, claim.first_sent) ||
-                coverage_.AnyLost(claim.first_sent);
-  if (!claim.doubt) {
-    for (const EntryHostId& peer : AllOthers()) Query(claim, peer, "");
+  claim.in_doubt = !coverage_.SpansKey(started_, claim.first_sent) ||
+                   coverage_.AnyLostRun(claim.first_sent);
+  if (!claim.in_doubt) {
+    for (const EntryHostId& peer : AllPeers()) Query(claim, peer, "");
   }
-  if (claim.asked.empty()) OnAllAsked(claim);
+  if (claim.queries.empty()) OnAllPeersAnswered(claim);
 }
 
 // --- Verdicts ---------------------------------------------------------------
@@ -422,57 +424,57 @@
   if (claim.without_table) {
     ++counters_.proceeded_without_table;
     // Known as late first: the row must say that no fence will be written.
-    Late& late = late_[claim.token];
-    late = {claim.request.key, RowOf(claim, RowState::kClaimed)};
+    DeferredRow& deferred = deferred_[claim.token];
+    deferred = {claim.request.key, RowOf(claim, RowState::kClaimed)};
   }
   actions_->push_back(VerdictGiven{claim.id, Proceed{}});
 }
 
 void ClaimMachine::GiveAttach(Claim& claim, const EntryHostId& owner) {
   ++counters_.attached;
-  LetGo(claim);
-  claim.phase = Phase::kElsewhere;
+  Release(claim);
+  claim.phase = Phase::kAttached;
   actions_->push_back(VerdictGiven{claim.id, Attach{owner}});
 }
 
 void ClaimMachine::GiveResume(Claim& claim, const ServerId& server,
-                              bool ended) {
+                              bool finished) {
   ++counters_.resumed;
-  LetGo(claim);
+  Release(claim);
   actions_->push_back(
-      VerdictGiven{claim.id, Resume{claim.request.key, server, ended}});
+      VerdictGiven{claim.id, Resume{claim.request.key, server, finished}});
   claims_.erase(claim.id);
 }
 
 void ClaimMachine::GiveRefusal(Claim& claim, Code code, std::string detail) {
   ++counters_.refused;
-  LetGo(claim);
-  bool doubt = code == Code::kClaimInDoubt;
+  Release(claim);
+  bool in_doubt = code == Code::kClaimInDoubt;
   Refuse refusal{{code, std::move(detail)},
-                 doubt ? kComeBackInDoubt : kComeBack};
+                 in_doubt ? kRetryAfterInDoubt : kRetryAfter};
   actions_->push_back(VerdictGiven{claim.id, std::move(refusal)});
   claims_.erase(claim.id);
 }
 
 // Nothing will be dispatched under this claim's token from here on.
-void ClaimMachine::LetGo(Claim& claim) {
+void ClaimMachine::Release(Claim& claim) {
   auto holder = holders_.find(claim.request.key);
   if (holder != holders_.end() && holder->second == claim.id) {
     holders_.erase(holder);
   }
-  claim.asked.clear();
-  bool late = late_.erase(claim.token) > 0;
-  if (claim.maybe_row || late) StartClosing(claim);
-  claim.maybe_row = false;
+  claim.queries.clear();
+  bool deferred = deferred_.erase(claim.token) > 0;
+  if (claim.row_may_exist || deferred) StartDelete(claim);
+  claim.row_may_exist = false;
 }
 
 // The truth about a request that the table's absence stops: a re-send may have
 // run under an earlier claim.
-Code ClaimMachine::DownCode(const Claim& claim) const {
+Code ClaimMachine::TableDownCode(const Claim& claim) const {
   bool earlier =
-      claim.request.attempt > 1 || !claim.promised.empty() ||
+      claim.request.attempt > 1 || !claim.promises.empty() ||
       claim.attach_failed ||
-      (claim.phase == Phase::kAskingAll && claim.request.attempt != 1);
+      (claim.phase == Phase::kQueryingAllPeers && claim.request.attempt != 1);
   return earlier ? Code::kClaimInDoubt : Code::kClaimStoreDown;
 }
 
@@ -481,7 +483,7 @@
 PeerAnswer ClaimMachine::HandleQuery(const PeerQuery& query, absl::Time now,
                                      std::vector<Action>* actions) {
   actions_ = actions;
-  MoveTime(now);
+  AdvanceTime(now);
   peers_.insert(query.requester);
   PeerAnswer answer{PeerState::kNoPromise, options_.incarnation, started_, {}};
   AnswerQuery(query, &answer);
@@ -491,16 +493,16 @@
 
 void ClaimMachine::AnswerQuery(const PeerQuery& query, PeerAnswer* answer) {
   if (coverage_.superseded()) return;
-  if (Claim* holder = Holder(query.key)) {
-    if (!Yields(*holder, query)) {
+  if (Claim* holder = FindHolder(query.key)) {
+    if (!YieldsTo(*holder, query)) {
       answer->state = PeerState::kHeld;
       return;
     }
     GiveAttach(*holder, query.requester);
   }
-  if (auto ended = memory_.FindEnded(query.key)) {
-    answer->state = PeerState::kEnded;
-    answer->server = ended->server;
+  if (auto finished = memory_.FindFinished(query.key)) {
+    answer->state = PeerState::kFinished;
+    answer->server = finished->server;
   } else if (memory_.IsAbandoned(query.token)) {
     answer->state = PeerState::kAbandoned;
   } else if (memory_.AddPromise(query.key,
@@ -512,7 +514,7 @@
 // Two hosts that ask each other about the same key must not both go on, nor
 // both yield to the other for ever: a row goes before none, and then the
 // lower name goes first.
-bool ClaimMachine::Yields(const Claim& holder, const PeerQuery& query) const {
+bool ClaimMachine::YieldsTo(const Claim& holder, const PeerQuery& query) const {
   bool decided =
       holder.phase == Phase::kReady || holder.phase == Phase::kFencing ||
       holder.phase == Phase::kFenceReading || holder.phase == Phase::kRunning;
@@ -528,14 +530,14 @@
   return found == claims_.end() ? nullptr : &found->second;
 }
 
-ClaimMachine::Claim* ClaimMachine::Holder(const ClaimKey& key) {
+ClaimMachine::Claim* ClaimMachine::FindHolder(const ClaimKey& key) {
   auto found = holders_.find(key);
   return found == holders_.end() ? nullptr : Find(found->second);
 }
 
-std::vector<EntryHostId> ClaimMachine::AllOthers() const {
+std::vector<EntryHostId> ClaimMachine::AllPeers() const {
   std::set<EntryHostId> all = peers_;
-  for (EntryHostId& host : coverage_.Members()) all.insert(std::move(host));
+  for (EntryHostId& host : coverage_.LeasedPeers()) all.insert(std::move(host));
   return {all.begin(), all.end()};
 }
 
--- a/src/claim/claim_machine.h
+++ b/src/claim/claim_machine.h
@@ -33,7 +33,7 @@
   // was paused, and messages may have waited in its sockets meanwhile.
   absl::Duration pause_gap = absl::Seconds(5);
   // While the table is out: how soon its return is noticed.
-  absl::Duration probe_every = absl::Milliseconds(500);
+  absl::Duration probe_interval = absl::Milliseconds(500);
 };
 
 struct ClaimCounters {
@@ -45,7 +45,7 @@
   std::uint64_t refused = 0;
   std::uint64_t row_writes = 0;
   std::uint64_t row_reads = 0;
-  std::uint64_t questions = 0;
+  std::uint64_t queries = 0;
   auto operator<=>(const ClaimCounters&) const = default;
 };
 
@@ -77,18 +77,18 @@
 
  private:
   enum class Phase {
-    kQueued,        // Waits for the table to come back, or the lease to lapse.
-    kWriting,       // Its row is on the way.
-    kReading,       // Reads the row: after a conflict or a lost answer.
-    kAskingOwner,   // Another's row was found.
-    kAwaitingScan,  // Row durable; the picture of the leases is too old.
-    kAskingPeers,   // Row durable; someone may have run it without a row.
-    kAskingAll,     // Without the table.
-    kReady,         // Proceed was given.
-    kFencing,       // Names the server in the row before the dispatch.
-    kFenceReading,  // The answer to that was lost, or it met a change.
-    kRunning,       // Dispatched.
-    kElsewhere,     // Attach was given.
+    kQueued,         // Waits for the table to come back, or the lease to lapse.
+    kWriting,        // Its row is on the way.
+    kReading,        // Reads the row: after a conflict or a lost answer.
+    kQueryingOwner,  // Another's row was found.
+    kAwaitingScan,   // Row durable; the picture of the leases is too old.
+    kQueryingPeers,  // Row durable; someone may have run it without a row.
+    kQueryingAllPeers,  // Without the table.
+    kReady,             // Proceed was given.
+    kFencing,           // Names the server in the row before the dispatch.
+    kFenceReading,      // The answer to that was lost, or it met a change.
+    kRunning,           // Dispatched.
+    kAttached,          // Attach was given.
   };
 
   struct Claim {
@@ -97,31 +97,31 @@
     std::string token;
     Phase phase = Phase::kQueued;
     absl::Time row_sent;
-    store::RowVersion base = 0;     // What the next write replaces.
-    store::RowVersion version = 0;  // Of the own row; 0: not durable.
-    bool maybe_row = false;         // The row may be in the table.
-    bool without_table = false;     // Was allowed to run without a row.
+    store::RowVersion replaced_version = 0;  // What the next write replaces.
+    store::RowVersion version = 0;           // Of the own row; 0: not durable.
+    bool row_may_exist = false;              // The row may be in the table.
+    bool without_table = false;  // Was allowed to run without a row.
     bool attach_failed = false;
-    bool doubt = false;  // An asked peer can't rule the key out.
+    bool in_doubt = false;  // An asked peer can't rule the key out.
     ServerId server;
-    std::optional<store::Row> other;  // Another's row, while asking.
-    std::map<CallId, EntryHostId> asked;
-    std::vector<Promise> promised;  // Given to peers before it was opened.
+    std::optional<store::Row> found_row;  // Another's row, while asking.
+    std::map<CallId, EntryHostId> queries;
+    std::vector<Promise> promises;  // Given to peers before it was opened.
     absl::Time first_sent;          // The key was never sent before this.
   };
 
   // A row to delete: nothing will be dispatched under its token.
-  struct Closing {
+  struct PendingDelete {
     ClaimKey key;
     std::string token;
-    bool busy = false;  // A call is on its way.
+    bool in_flight = false;  // A call is on its way.
   };
 
   // A key that runs without a row; its row must follow.
-  struct Late {
+  struct DeferredRow {
     ClaimKey key;
     ClaimRow row;
-    bool busy = false;
+    bool in_flight = false;
   };
 
   enum class Purpose {
@@ -129,10 +129,10 @@
     kClaimRead,
     kFence,
     kProgress,
-    kCloseRead,
-    kCloseWrite,
-    kLateWrite,
-    kLateRead,
+    kDeleteRead,
+    kDeleteWrite,
+    kDeferredWrite,
+    kDeferredRead,
     kScan,
     kRenew,
     kQuery,
@@ -149,15 +149,15 @@
   using Actions = std::vector<Action>;
 
   // Events.
-  void On(const Opened& event);
-  void On(const DispatchWanted& event);
-  void On(const DispatchEnded& event);
-  void On(const Abandoned& event);
+  void On(const ClaimOpened& event);
+  void On(const DispatchRequested& event);
+  void On(const DispatchFinished& event);
+  void On(const ClaimAbandoned& event);
   void On(const AttachFailed& event);
   void On(const CommitAnswered& event);
   void On(const ReadAnswered& event);
   void On(const PeerAnswered& event);
-  void On(const TimePassed& event);
+  void On(const TimerFired& event);
 
   // The claim's way, claim_machine.cc.
   void Begin(Claim& claim);
@@ -166,31 +166,32 @@
   void OnRowWritten(Claim& claim, const store::CommitResult& result);
   void OnRowRead(Claim& claim, const store::Row* row);
   void OnTableFailed(Claim& claim);
-  void OnOthersRow(Claim& claim, const store::Row& row, const ClaimRow& other);
-  void OnOwnerAnswered(Claim& claim, const std::optional<PeerAnswer>& answer);
-  void OnOwnerGone(Claim& claim, const ClaimRow& other);
+  void OnForeignRow(Claim& claim, const store::Row& row,
+                    const ClaimRow& foreign);
+  void OnOwnerAnswer(Claim& claim, const std::optional<PeerAnswer>& answer);
+  void OnOwnerUnavailable(Claim& claim, const ClaimRow& foreign);
   void TakeOver(Claim& claim);
-  void OnDurable(Claim& claim, store::RowVersion version);
-  void AskAboutUnwritten(Claim& claim);
+  void OnRowDurable(Claim& claim, store::RowVersion version);
+  void CheckUnrecordedRuns(Claim& claim);
   void RunWithoutTable(Claim& claim);
-  void AskAll(Claim& claim);
+  void QueryAllPeers(Claim& claim);
   void Query(Claim& claim, const EntryHostId& peer, std::string token);
-  void OnAnswerOfAsked(Claim& claim, const EntryHostId& peer,
-                       const std::optional<PeerAnswer>& answer);
-  bool RulesOut(const Claim& claim, const EntryHostId& peer,
-                const std::optional<PeerAnswer>& answer) const;
-  void OnAllAsked(Claim& claim);
+  void OnPeerAnswer(Claim& claim, const EntryHostId& peer,
+                    const std::optional<PeerAnswer>& answer);
+  bool ProvesNotRun(const Claim& claim, const EntryHostId& peer,
+                    const std::optional<PeerAnswer>& answer) const;
+  void OnAllPeersAnswered(Claim& claim);
   void GiveProceed(Claim& claim);
   void GiveAttach(Claim& claim, const EntryHostId& owner);
-  void GiveResume(Claim& claim, const ServerId& server, bool ended);
+  void GiveResume(Claim& claim, const ServerId& server, bool finished);
   void GiveRefusal(Claim& claim, Code code, std::string detail);
-  void LetGo(Claim& claim);
-  Code DownCode(const Claim& claim) const;
-  void MoveTime(absl::Time now);
-  absl::Time SentAfter() const;
-  absl::Time FirstSent(const ClaimRequest& request) const;
+  void Release(Claim& claim);
+  Code TableDownCode(const Claim& claim) const;
+  void AdvanceTime(absl::Time now);
+  absl::Time EarliestSendTime() const;
+  absl::Time EarliestFirstSend(const ClaimRequest& request) const;
   void AnswerQuery(const PeerQuery& query, PeerAnswer* answer);
-  bool Yields(const Claim& holder, const PeerQuery& query) const;
+  bool YieldsTo(const Claim& holder, const PeerQuery& query) const;
 
   // Around the dispatch, claim_dispatch.cc.
   bool IsFenced(const Claim& claim) const;
@@ -200,26 +201,27 @@
   void AllowDispatch(Claim& claim);
   void RefuseDispatch(Claim& claim, Code code);
   void WriteProgress(Claim& claim, RowState state);
-  void End(Claim& claim);
+  void Finish(Claim& claim);
   ClaimRow RowOf(const Claim& claim, RowState state) const;
 
   // What follows the claims, claim_upkeep.cc.
-  void StartClosing(Claim& claim);
-  void StepClosing(Closing& closing);
-  void OnCloseRead(const std::string& token, const store::Row* row,
-                   bool answered);
-  void OnCloseWritten(const std::string& token, store::CommitState state);
-  void StepLate(Late& late);
-  void OnLateWritten(const std::string& token,
-                     const store::CommitResult& result);
-  void OnLateRead(const std::string& token, const store::Row* row,
-                  bool answered);
-  void OnLateDurable(const std::string& token, store::RowVersion version);
+  void StartDelete(Claim& claim);
+  void ContinueDelete(PendingDelete& pending);
+  void OnDeleteRead(const std::string& token, const store::Row* row,
+                    bool answered);
+  void OnDeleteWritten(const std::string& token, store::CommitState state);
+  void WriteDeferredRow(DeferredRow& deferred);
+  void OnDeferredRowWritten(const std::string& token,
+                            const store::CommitResult& result);
+  void OnDeferredRowRead(const std::string& token, const store::Row* row,
+                         bool answered);
+  void OnDeferredRowDurable(const std::string& token,
+                            store::RowVersion version);
   void OnScanned(const Call& call, const std::vector<store::Row>& rows);
   void OnTableAnswer(bool answered);
   void ResumeQueued();
-  void RenewIfClean();
-  void ResumeAwaiting();
+  void RenewLeaseIfSafe();
+  void ResumeAwaitingScan();
   void StartScan();
 
   CallId NewCall(Purpose purpose, ClaimId claim, std::string token);
@@ -229,8 +231,8 @@
   void Read(Purpose purpose, ClaimId claim, std::string token,
             const std::string& row_key);
   Claim* Find(ClaimId id);
-  Claim* Holder(const ClaimKey& key);
-  std::vector<EntryHostId> AllOthers() const;
+  Claim* FindHolder(const ClaimKey& key);
+  std::vector<EntryHostId> AllPeers() const;
 
   ClaimOptions options_;
   Coverage coverage_;
@@ -249,11 +251,11 @@
   std::uint64_t next_token_ = 1;
   std::map<ClaimId, Claim> claims_;
   std::map<ClaimKey, ClaimId> holders_;
-  std::map<std::string, Closing> closings_;  // By token.
-  std::map<std::string, Late> late_;         // By token.
+  std::map<std::string, PendingDelete> pending_deletes_;  // By token.
+  std::map<std::string, DeferredRow> deferred_;           // By token.
   std::map<CallId, Call> calls_;
   std::set<EntryHostId> peers_;
-  std::set<EntryHostId> introduced_;  // Peers that certainly know this host.
+  std::set<EntryHostId> aware_peers_;  // Peers that certainly know this host.
   ClaimCounters counters_;
 };
 
--- a/src/claim/claim_machine_test.cc
+++ b/src/claim/claim_machine_test.cc
@@ -18,15 +18,15 @@
 
   // Takes the actions of the last event that are of type T.
   template <typename T>
-  std::vector<T> Taken() const {
-    std::vector<T> taken;
+  std::vector<T> ActionsOf() const {
+    std::vector<T> found;
     for (const Action& action : actions_) {
-      if (const T* one = std::get_if<T>(&action)) taken.push_back(*one);
+      if (const T* match = std::get_if<T>(&action)) found.push_back(*match);
     }
-    return taken;
+    return found;
   }
 
-  void Tell(const Event& event, absl::Time now) {
+  void Handle(const Event& event, absl::Time now) {
     actions_.clear();
     machine_.Handle(event, now, &actions_);
   }
@@ -42,17 +42,17 @@
     for (const LeaseRow& lease : leases) {
       rows.push_back({LeaseKey(lease.host), Encode(lease), 1});
     }
-    Tell(ReadAnswered{Taken<ScanCall>().at(0).call, rows}, now);
+    Handle(ReadAnswered{ActionsOf<ScanCall>().at(0).call, rows}, now);
   }
   void CommitLast(absl::Time now) {
-    CommitCall call = Taken<CommitCall>().at(0);
+    CommitCall call = ActionsOf<CommitCall>().at(0);
     std::string key = call.transaction.writes[0].key;
-    Tell(CommitAnswered{call.call,
-                        {store::CommitState::kCommitted, {}, {{key, "", 1}}}},
-         now);
+    Handle(CommitAnswered{call.call,
+                          {store::CommitState::kCommitted, {}, {{key, "", 1}}}},
+           now);
   }
   void Open(int attempt, absl::Time now) {
-    Tell(Opened{1, {.key = ClaimKey("key"), .attempt = attempt}}, now);
+    Handle(ClaimOpened{1, {.key = ClaimKey("key"), .attempt = attempt}}, now);
   }
 
  private:
@@ -73,52 +73,53 @@
 // a re-send at host b got a row there. When b looks at the leases, a is covered
 // again; b would run the key a second time if it didn't see that a's cover
 // began after its own row.
-BOOST_AUTO_TEST_CASE(ACoverThatBeganAfterTheRowProvesNothing) {
+BOOST_AUTO_TEST_CASE(LeaseStartedAfterRowDoesNotCoverIt) {
   for (bool earlier : {false, true}) {
     Driver host;
-    host.Tell(TimePassed{}, At(0));
+    host.Handle(TimerFired{}, At(0));
     host.Scan({Lease("a", At(-60), At(10))}, At(0));
     host.CommitLast(At(0));
     host.Open(2, At(20));
     host.CommitLast(At(20));
     absl::Time since = earlier ? At(-60) : At(25);
     host.Scan({Lease("a", since, At(40)), Lease("b", At(0), At(15))}, At(28));
-    BOOST_TEST(host.Taken<AskCall>().size() == (earlier ? 0u : 1u));
-    BOOST_TEST(host.Taken<VerdictGiven>().size() == (earlier ? 1u : 0u));
+    BOOST_TEST(host.ActionsOf<QueryCall>().size() == (earlier ? 0u : 1u));
+    BOOST_TEST(host.ActionsOf<VerdictGiven>().size() == (earlier ? 1u : 0u));
   }
 }
 
 // Two hosts without the table ask this one about the same key, and one of them
 // runs it. A re-send that arrives here must be asked of both.
-BOOST_AUTO_TEST_CASE(EveryAskerIsRemembered) {
+BOOST_AUTO_TEST_CASE(EveryRequesterIsRemembered) {
   Driver host;
-  host.Tell(TimePassed{}, At(0));
+  host.Handle(TimerFired{}, At(0));
   host.Scan({}, At(0));
   host.CommitLast(At(0));
   BOOST_TEST((host.Query("a", 1, At(1)).state == PeerState::kNotHeld));
   BOOST_TEST((host.Query("c", 1, At(1)).state == PeerState::kNotHeld));
   host.Open(0, At(2));
   host.CommitLast(At(2));
-  BOOST_TEST(host.Taken<AskCall>().size() == 2u);
-  BOOST_TEST(host.Taken<VerdictGiven>().empty());
+  BOOST_TEST(host.ActionsOf<QueryCall>().size() == 2u);
+  BOOST_TEST(host.ActionsOf<VerdictGiven>().empty());
 }
 
 // The table refuses a refund's claim. The caller has to hear at once that it
 // was not run, and when to come back.
 BOOST_AUTO_TEST_CASE(ANonIdempotentCallWithoutTheTableIsRefusedAtOnce) {
   Driver host;
-  host.Tell(Opened{1, {.key = ClaimKey("key"), .idempotent = false}}, At(0));
-  CallId call = host.Taken<CommitCall>().at(0).call;
-  host.Tell(CommitAnswered{call, {store::CommitState::kNotApplied, {}, {}}},
-            At(0));
-  auto verdicts = host.Taken<VerdictGiven>();
+  host.Handle(ClaimOpened{1, {.key = ClaimKey("key"), .idempotent = false}},
+              At(0));
+  CallId call = host.ActionsOf<CommitCall>().at(0).call;
+  host.Handle(CommitAnswered{call, {store::CommitState::kNotApplied, {}, {}}},
+              At(0));
+  auto verdicts = host.ActionsOf<VerdictGiven>();
   BOOST_REQUIRE(verdicts.size() == 1u);
   const auto& refusal = std::get<Refuse>(verdicts[0].verdict);
   BOOST_TEST((refusal.error.code == Code::kClaimStoreDown));
   BOOST_TEST((refusal.retry_after > absl::ZeroDuration()));
 }
 
-BOOST_AUTO_TEST_CASE(KeysAndBodiesAreToldApart) {
+BOOST_AUTO_TEST_CASE(DigestsOfDifferentKeysAndBodiesDiffer) {
   ClaimKey key = DigestKey(WorkspaceId("w"), IdempotencyKey("k"));
   BOOST_TEST(key.str().size() == 32u);
   BOOST_TEST(key != DigestKey(WorkspaceId("wk"), IdempotencyKey("")));
@@ -129,7 +130,7 @@
   BOOST_TEST(!TimeOfKey(IdempotencyKey("order-7")).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(RowsSurviveTheirText) {
+BOOST_AUTO_TEST_CASE(RowsRoundTripThroughText) {
   ClaimRow row{EntryHostId("a"),
                7,
                RowState::kDispatched,
--- a/src/claim/claim_table.h
+++ b/src/claim/claim_table.h
@@ -49,7 +49,7 @@
   ClaimId Open(ClaimRequest request, OnVerdict on_verdict) {
     ClaimId id = next_id_++;
     verdicts_[id] = std::move(on_verdict);
-    Run(Opened{id, std::move(request)});
+    Run(ClaimOpened{id, std::move(request)});
     return id;
   }
 
@@ -57,18 +57,18 @@
   // back without a refusal when it may leave at once.
   void RequestDispatch(ClaimId id, ServerId server, OnDispatch on_dispatch) {
     dispatches_[id] = std::move(on_dispatch);
-    Run(DispatchWanted{id, std::move(server)});
+    Run(DispatchRequested{id, std::move(server)});
   }
 
   // The dispatched request ended; `sent` false is certain that no byte left.
   void FinishDispatch(ClaimId id, bool sent) {
-    Run(DispatchEnded{id, sent});
+    Run(DispatchFinished{id, sent});
     if (sent) Forget(id);
   }
 
   // The request ends without a dispatch, whether or not a verdict came.
   void Abandon(ClaimId id) {
-    Run(Abandoned{id});
+    Run(ClaimAbandoned{id});
     Forget(id);
   }
 
@@ -90,7 +90,7 @@
     machine_.SetPeers(std::move(peers));
   }
 
-  void OnTimer() { Run(TimePassed{}); }
+  void OnTimer() { Run(TimerFired{}); }
   absl::Time NextWakeup() const { return machine_.NextWakeup(); }
   const ClaimCounters& counters() const { return machine_.counters(); }
 
@@ -103,38 +103,40 @@
 
   void Perform(std::vector<Action> actions) {
     for (Action& action : actions) {
-      std::visit([this](auto& one) { this->Do(std::move(one)); }, action);
+      std::visit([this](auto& typed) { this->Do(std::move(typed)); }, action);
     }
   }
 
-  void Do(CommitCall one) {
-    table_->Commit(std::move(one.transaction),
-                   [this, call = one.call](store::CommitResult result) {
+  void Do(CommitCall action) {
+    table_->Commit(std::move(action.transaction),
+                   [this, call = action.call](store::CommitResult result) {
                      this->Run(CommitAnswered{call, std::move(result)});
                    });
   }
 
-  void Do(ReadCall one) { table_->Read(std::move(one.keys), Reader(one.call)); }
+  void Do(ReadCall action) {
+    table_->Read(std::move(action.keys), Reader(action.call));
+  }
 
-  void Do(ScanCall one) {
-    table_->Scan(std::move(one.prefix), Reader(one.call));
+  void Do(ScanCall action) {
+    table_->Scan(std::move(action.prefix), Reader(action.call));
   }
 
-  void Do(AskCall one) {
-    peers_->Query(std::move(one.peer), std::move(one.query),
-                  [this, call = one.call](std::optional<PeerAnswer> answer) {
+  void Do(QueryCall action) {
+    peers_->Query(std::move(action.peer), std::move(action.query),
+                  [this, call = action.call](std::optional<PeerAnswer> answer) {
                     this->Run(PeerAnswered{call, std::move(answer)});
                   });
   }
 
-  void Do(VerdictGiven one) {
-    auto node = verdicts_.extract(one.id);
-    if (!node.empty()) node.mapped()(one.id, std::move(one.verdict));
+  void Do(VerdictGiven action) {
+    auto node = verdicts_.extract(action.id);
+    if (!node.empty()) node.mapped()(action.id, std::move(action.verdict));
   }
 
-  void Do(DispatchAnswered one) {
-    auto node = dispatches_.extract(one.id);
-    if (!node.empty()) node.mapped()(std::move(one.refusal));
+  void Do(DispatchAnswered action) {
+    auto node = dispatches_.extract(action.id);
+    if (!node.empty()) node.mapped()(std::move(action.refusal));
   }
 
   std::function<void(store::ReadResult)> Reader(CallId call) {
--- a/src/claim/claim_upkeep.cc
+++ b/src/claim/claim_upkeep.cc
@@ -39,16 +39,16 @@
         claim->version = event.result.versions[0].version;
       }
       break;
-    case Purpose::kCloseWrite:
-      OnCloseWritten(call.token, state);
+    case Purpose::kDeleteWrite:
+      OnDeleteWritten(call.token, state);
       break;
-    case Purpose::kLateWrite:
-      OnLateWritten(call.token, event.result);
+    case Purpose::kDeferredWrite:
+      OnDeferredRowWritten(call.token, event.result);
       break;
     case Purpose::kRenew:
       renewing_ = false;
       coverage_.OnRenewed(event.result, now_);
-      ResumeAwaiting();
+      ResumeAwaitingScan();
       break;
     default:
       break;
@@ -64,17 +64,17 @@
   OnTableAnswer(answered);
   if (call.purpose == Purpose::kScan) {
     absl::Duration pause =
-        answered ? options_.coverage.renew_every : options_.probe_every;
+        answered ? options_.coverage.renew_interval : options_.probe_interval;
     next_scan_ = now_ + pause;
     if (answered) OnScanned(call, *event.rows);
     return;
   }
-  if (call.purpose == Purpose::kCloseRead) {
-    OnCloseRead(call.token, FirstRow(event), answered);
+  if (call.purpose == Purpose::kDeleteRead) {
+    OnDeleteRead(call.token, FirstRow(event), answered);
     return;
   }
-  if (call.purpose == Purpose::kLateRead) {
-    OnLateRead(call.token, FirstRow(event), answered);
+  if (call.purpose == Purpose::kDeferredRead) {
+    OnDeferredRowRead(call.token, FirstRow(event), answered);
     return;
   }
   Claim* claim = Find(call.claim);
@@ -92,18 +92,18 @@
   }
 }
 
-void ClaimMachine::On(const TimePassed&) {
+void ClaimMachine::On(const TimerFired&) {
   if (now_ >= next_scan_) StartScan();
   ResumeQueued();
   if (!table_up_) return;
-  for (auto& [token, closing] : closings_) StepClosing(closing);
-  for (auto& [token, late] : late_) StepLate(late);
+  for (auto& [token, pending] : pending_deletes_) ContinueDelete(pending);
+  for (auto& [token, deferred] : deferred_) WriteDeferredRow(deferred);
 }
 
 void ClaimMachine::OnTableAnswer(bool answered) {
-  bool returned = answered && !table_up_;
+  bool recovered = answered && !table_up_;
   table_up_ = answered;
-  if (returned) ResumeQueued();
+  if (recovered) ResumeQueued();
 }
 
 // Claims that wait go on: by the table when it is back, without it when the
@@ -111,22 +111,22 @@
 void ClaimMachine::ResumeQueued() {
   std::vector<ClaimId> waiting;
   for (const auto& [id, claim] : claims_) {
-    bool by_table =
-        claim.phase == Phase::kQueued || claim.phase == Phase::kAskingAll;
+    bool by_table = claim.phase == Phase::kQueued ||
+                    claim.phase == Phase::kQueryingAllPeers;
     bool without =
         claim.phase == Phase::kQueued || claim.phase == Phase::kAwaitingScan;
-    bool lapsed = coverage_.Lapsed(now_);
+    bool lapsed = coverage_.HasLapsed(now_);
     if (table_up_ ? by_table : without && lapsed) waiting.push_back(id);
   }
   for (ClaimId id : waiting) {
     Claim* claim = Find(id);
     if (claim == nullptr) continue;
-    claim->asked.clear();
-    claim->doubt = false;
+    claim->queries.clear();
+    claim->in_doubt = false;
     if (!table_up_) {
       RunWithoutTable(*claim);
     } else if (claim->version != 0) {
-      AskAboutUnwritten(*claim);
+      CheckUnrecordedRuns(*claim);
     } else {
       WriteRow(*claim);
     }
@@ -137,104 +137,104 @@
 
 // A row that nobody will use would hold its key until its owner dies, and a
 // caller's next sending would be attached to nothing.
-void ClaimMachine::StartClosing(Claim& claim) {
+void ClaimMachine::StartDelete(Claim& claim) {
   memory_.AddAbandoned(claim.token, now_);
-  Closing& closing = closings_[claim.token];
-  closing.key = claim.request.key;
-  closing.token = claim.token;
-  if (table_up_) StepClosing(closing);
+  PendingDelete& pending = pending_deletes_[claim.token];
+  pending.key = claim.request.key;
+  pending.token = claim.token;
+  if (table_up_) ContinueDelete(pending);
 }
 
-void ClaimMachine::StepClosing(Closing& closing) {
-  if (closing.busy) return;
-  closing.busy = true;
-  Read(Purpose::kCloseRead, 0, closing.token, RowKey(closing.key));
+void ClaimMachine::ContinueDelete(PendingDelete& pending) {
+  if (pending.in_flight) return;
+  pending.in_flight = true;
+  Read(Purpose::kDeleteRead, 0, pending.token, RowKey(pending.key));
 }
 
-void ClaimMachine::OnCloseRead(const std::string& token, const store::Row* row,
-                               bool answered) {
-  auto found = closings_.find(token);
-  if (found == closings_.end()) return;
-  Closing& closing = found->second;
-  closing.busy = false;
+void ClaimMachine::OnDeleteRead(const std::string& token, const store::Row* row,
+                                bool answered) {
+  auto found = pending_deletes_.find(token);
+  if (found == pending_deletes_.end()) return;
+  PendingDelete& pending = found->second;
+  pending.in_flight = false;
   if (!answered) return;
   std::optional<ClaimRow> claim;
   if (row != nullptr) claim = DecodeClaim(row->value);
   if (!claim || claim->token != token) {
-    closings_.erase(found);
+    pending_deletes_.erase(found);
     return;
   }
-  closing.busy = true;
-  Commit(Purpose::kCloseWrite, 0, token, RowKey(closing.key), row->version,
+  pending.in_flight = true;
+  Commit(Purpose::kDeleteWrite, 0, token, RowKey(pending.key), row->version,
          std::nullopt);
 }
 
-void ClaimMachine::OnCloseWritten(const std::string& token,
-                                  store::CommitState state) {
-  auto found = closings_.find(token);
-  if (found == closings_.end()) return;
-  found->second.busy = false;
-  if (state == store::CommitState::kCommitted) closings_.erase(found);
+void ClaimMachine::OnDeleteWritten(const std::string& token,
+                                   store::CommitState state) {
+  auto found = pending_deletes_.find(token);
+  if (found == pending_deletes_.end()) return;
+  found->second.in_flight = false;
+  if (state == store::CommitState::kCommitted) pending_deletes_.erase(found);
 }
 
 // --- Rows that come late ----------------------------------------------------
 
-void ClaimMachine::StepLate(Late& late) {
-  if (late.busy) return;
-  late.busy = true;
-  Commit(Purpose::kLateWrite, 0, late.row.token, RowKey(late.key), 0,
-         Encode(late.row));
+void ClaimMachine::WriteDeferredRow(DeferredRow& deferred) {
+  if (deferred.in_flight) return;
+  deferred.in_flight = true;
+  Commit(Purpose::kDeferredWrite, 0, deferred.row.token, RowKey(deferred.key),
+         0, Encode(deferred.row));
 }
 
-void ClaimMachine::OnLateWritten(const std::string& token,
-                                 const store::CommitResult& result) {
-  auto found = late_.find(token);
-  if (found == late_.end()) return;
-  found->second.busy = false;
+void ClaimMachine::OnDeferredRowWritten(const std::string& token,
+                                        const store::CommitResult& result) {
+  auto found = deferred_.find(token);
+  if (found == deferred_.end()) return;
+  found->second.in_flight = false;
   if (result.state == store::CommitState::kNotApplied) return;
   if (result.state == store::CommitState::kCommitted) {
-    OnLateDurable(token,
-                  result.versions.empty() ? 1 : result.versions[0].version);
+    OnDeferredRowDurable(
+        token, result.versions.empty() ? 1 : result.versions[0].version);
     return;
   }
-  found->second.busy = true;
-  Read(Purpose::kLateRead, 0, token, RowKey(found->second.key));
+  found->second.in_flight = true;
+  Read(Purpose::kDeferredRead, 0, token, RowKey(found->second.key));
 }
 
-void ClaimMachine::OnLateRead(const std::string& token, const store::Row* row,
-                              bool answered) {
-  auto found = late_.find(token);
-  if (found == late_.end()) return;
-  Late& late = found->second;
-  late.busy = false;
+void ClaimMachine::OnDeferredRowRead(const std::string& token,
+                                     const store::Row* row, bool answered) {
+  auto found = deferred_.find(token);
+  if (found == deferred_.end()) return;
+  DeferredRow& deferred = found->second;
+  deferred.in_flight = false;
   if (!answered) return;
   if (row == nullptr) {
-    StepLate(late);
+    WriteDeferredRow(deferred);
     return;
   }
-  std::optional<ClaimRow> other = DecodeClaim(row->value);
-  if (other && other->token == token) {
-    OnLateDurable(token, row->version);
+  std::optional<ClaimRow> foreign = DecodeClaim(row->value);
+  if (foreign && foreign->token == token) {
+    OnDeferredRowDurable(token, row->version);
     return;
   }
   // Its owner hasn't dispatched the key: it must hear from us first, and we
   // answer that we hold it.
-  late.busy = true;
-  Commit(Purpose::kLateWrite, 0, token, RowKey(late.key), row->version,
-         Encode(late.row));
+  deferred.in_flight = true;
+  Commit(Purpose::kDeferredWrite, 0, token, RowKey(deferred.key), row->version,
+         Encode(deferred.row));
 }
 
-void ClaimMachine::OnLateDurable(const std::string& token,
-                                 store::RowVersion version) {
-  auto node = late_.extract(token);
-  if (Claim* claim = Holder(node.mapped().key)) {
+void ClaimMachine::OnDeferredRowDurable(const std::string& token,
+                                        store::RowVersion version) {
+  auto node = deferred_.extract(token);
+  if (Claim* claim = FindHolder(node.mapped().key)) {
     if (claim->token == token) {
       claim->version = version;
-      claim->maybe_row = true;
+      claim->row_may_exist = true;
     }
   }
   // The lease may be renewed again, after a fresh look.
-  if (late_.empty()) StartScan();
+  if (deferred_.empty()) StartScan();
 }
 
 // --- The lease --------------------------------------------------------------
@@ -251,29 +251,29 @@
   // The last sending of a key may still wait at a peer when its window is over.
   memory_.ForgetBefore(now_ - 2 * options_.coverage.key_window);
   coverage_.OnScan(rows, call.sent, now_);
-  for (auto& [token, late] : late_) StepLate(late);
-  RenewIfClean();
-  ResumeAwaiting();
+  for (auto& [token, deferred] : deferred_) WriteDeferredRow(deferred);
+  RenewLeaseIfSafe();
+  ResumeAwaitingScan();
 }
 
-void ClaimMachine::ResumeAwaiting() {
+void ClaimMachine::ResumeAwaitingScan() {
   if (!coverage_.registered()) return;
   std::vector<ClaimId> waiting;
   for (const auto& [id, claim] : claims_) {
     if (claim.phase == Phase::kAwaitingScan) waiting.push_back(id);
   }
   for (ClaimId id : waiting) {
-    if (Claim* claim = Find(id)) AskAboutUnwritten(*claim);
+    if (Claim* claim = Find(id)) CheckUnrecordedRuns(*claim);
   }
 }
 
 // Whoever sees this host's lease current takes it for certain that all it ran
 // has a row. A renewal before that would let a re-send run a second time.
-void ClaimMachine::RenewIfClean() {
-  bool asking = std::any_of(claims_.begin(), claims_.end(), [](auto& entry) {
-    return entry.second.phase == Phase::kAskingAll;
+void ClaimMachine::RenewLeaseIfSafe() {
+  bool busy = std::any_of(claims_.begin(), claims_.end(), [](auto& entry) {
+    return entry.second.phase == Phase::kQueryingAllPeers;
   });
-  if (renewing_ || asking || !late_.empty() || coverage_.superseded()) return;
+  if (renewing_ || busy || !deferred_.empty() || coverage_.superseded()) return;
   renewing_ = true;
   CallId call = NewCall(Purpose::kRenew, 0, "");
   actions_->push_back(CommitCall{call, coverage_.Renew(now_)});
--- a/src/claim/coverage.cc
+++ b/src/claim/coverage.cc
@@ -15,13 +15,13 @@
 void Coverage::OnScan(const std::vector<store::Row>& rows, absl::Time sent,
                       absl::Time now) {
   scan_sent_ = sent;
-  others_.clear();
+  peers_.clear();
   bool own_row = false;
   for (const store::Row& row : rows) {
     std::optional<LeaseRow> lease = DecodeLease(row.value);
     if (!lease) continue;
     if (lease->host != self_) {
-      others_[lease->host] = *lease;
+      peers_[lease->host] = *lease;
       continue;
     }
     own_row = true;
@@ -30,16 +30,17 @@
   if (!own_row) version_ = 0;
   if (scanned_once_) return;
   scanned_once_ = true;
-  clean_start_ = std::all_of(others_.begin(), others_.end(), [&](auto& entry) {
-    return now + options_.clock_skew < entry.second.until &&
-           !Lost(entry.second, now - options_.key_window);
-  });
+  all_covered_at_start_ =
+      std::all_of(peers_.begin(), peers_.end(), [&](auto& entry) {
+        return now + options_.clock_skew < entry.second.until &&
+               !MayHaveLostRun(entry.second, now - options_.key_window);
+      });
 }
 
 void Coverage::OnOwnRow(const LeaseRow& row, store::RowVersion version,
                         absl::Time now) {
   version_ = version;
-  named_ = row.named;
+  registered_by_ = row.registered_by;
   if (row.incarnation == incarnation_) {
     Register(now);  // Also when the answer to Renew() was lost.
     return;
@@ -57,8 +58,8 @@
 
 void Coverage::Register(absl::Time now) {
   // A name that was taken later than its row says is taken once more.
-  if (naming_ && now > named_) return;
-  naming_ = false;
+  if (registering_ && now > registered_by_) return;
+  registering_ = false;
   registered_ = true;
 }
 
@@ -78,9 +79,9 @@
   row.lost_until = lost_until_;
   // Whoever scans later than `named` sees the row; Register() makes sure that
   // it was there by then.
-  naming_ = naming_ || version_ == 0;
-  if (naming_) named_ = now + options_.lease;
-  row.named = named_;
+  registering_ = registering_ || version_ == 0;
+  if (registering_) registered_by_ = now + options_.lease;
+  row.registered_by = registered_by_;
   std::string key = LeaseKey(self_);
   return {"", {{key, version_}}, {{key, Encode(row)}}};
 }
@@ -91,19 +92,19 @@
   for (const store::Row& row : result.versions) version_ = row.version;
 }
 
-bool Coverage::Lapsed(absl::Time now) const {
+bool Coverage::HasLapsed(absl::Time now) const {
   // Peers find this host's lease only once it is registered; before, nobody
   // would know to ask it.
   return registered_ && !superseded_ && now > LapseTime();
 }
 
-bool Coverage::FreshScan(absl::Time now) const {
+bool Coverage::IsScanFresh(absl::Time now) const {
   // A host that registered after the scan is covered for a whole lease.
   return now + options_.clock_skew < scan_sent_ + options_.lease;
 }
 
-bool Coverage::Covered(const LeaseRow& lease, absl::Time row_sent,
-                       absl::Time now) const {
+bool Coverage::IsCovered(const LeaseRow& lease, absl::Time row_sent,
+                         absl::Time now) const {
   bool current = now + options_.clock_skew < lease.until;
   // Its late rows were in the table before ours was sent, so ours would have
   // met a row of the same key as a conflict.
@@ -111,64 +112,65 @@
   return current && flushed;
 }
 
-bool Coverage::Lost(const LeaseRow& lease, absl::Time first_sent) const {
-  return !Remembers(lease.lost_until, first_sent);
+bool Coverage::MayHaveLostRun(const LeaseRow& lease,
+                              absl::Time first_sent) const {
+  return !SpansKey(lease.lost_until, first_sent);
 }
 
 Suspects Coverage::FindSuspects(absl::Time row_sent, absl::Time first_sent,
                                 absl::Time now) const {
   Suspects suspects;
-  for (const auto& [host, lease] : others_) {
-    if (Lost(lease, first_sent)) suspects.lost = true;
-    if (Covered(lease, row_sent, now)) continue;
-    suspects.to_ask.push_back(host);
+  for (const auto& [host, lease] : peers_) {
+    if (MayHaveLostRun(lease, first_sent)) suspects.lost_run = true;
+    if (IsCovered(lease, row_sent, now)) continue;
+    suspects.to_query.push_back(host);
   }
   return suspects;
 }
 
-bool Coverage::Remembers(absl::Time memory_start, absl::Time first_sent) const {
+bool Coverage::SpansKey(absl::Time memory_start, absl::Time first_sent) const {
   return first_sent > memory_start + options_.clock_skew;
 }
 
-bool Coverage::AnyLost(absl::Time first_sent) const {
-  return std::any_of(others_.begin(), others_.end(), [&](const auto& entry) {
-    return Lost(entry.second, first_sent);
+bool Coverage::AnyLostRun(absl::Time first_sent) const {
+  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
+    return MayHaveLostRun(entry.second, first_sent);
   });
 }
 
-bool Coverage::Aware(absl::Time until) const {
+bool Coverage::IsAware(absl::Time until) const {
   absl::Time scanned = until - options_.lease;
-  return scanned > named_ + options_.clock_skew;
+  return scanned > registered_by_ + options_.clock_skew;
 }
 
-std::vector<EntryHostId> Coverage::Unaware() const {
+std::vector<EntryHostId> Coverage::UnawareHosts() const {
   std::vector<EntryHostId> unaware;
-  for (const auto& [host, lease] : others_) {
-    if (!Aware(lease.until)) unaware.push_back(host);
+  for (const auto& [host, lease] : peers_) {
+    if (!IsAware(lease.until)) unaware.push_back(host);
   }
   return unaware;
 }
 
-bool Coverage::LostUnaware(absl::Time first_sent) const {
-  return std::any_of(others_.begin(), others_.end(), [&](const auto& entry) {
+bool Coverage::AnyLostRunUnaware(absl::Time first_sent) const {
+  return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const LeaseRow& lease = entry.second;
-    return Lost(lease, first_sent) && !Aware(lease.lost_from);
+    return MayHaveLostRun(lease, first_sent) && !IsAware(lease.lost_from);
   });
 }
 
-std::vector<EntryHostId> Coverage::Members() const {
+std::vector<EntryHostId> Coverage::LeasedPeers() const {
   std::vector<EntryHostId> members;
-  for (const auto& [host, lease] : others_) members.push_back(host);
+  for (const auto& [host, lease] : peers_) members.push_back(host);
   return members;
 }
 
 Incarnation Coverage::IncarnationOf(const EntryHostId& host) const {
-  auto found = others_.find(host);
-  return found == others_.end() ? 0 : found->second.incarnation;
+  auto found = peers_.find(host);
+  return found == peers_.end() ? 0 : found->second.incarnation;
 }
 
-bool Coverage::KnowsAll(absl::Time first_sent) const {
-  return clean_start_ || Remembers(started_, first_sent);
+bool Coverage::HasFullMemory(absl::Time first_sent) const {
+  return all_covered_at_start_ || SpansKey(started_, first_sent);
 }
 
 }  // namespace gentianlb::claim
--- a/src/claim/coverage.h
+++ b/src/claim/coverage.h
@@ -24,7 +24,7 @@
   // A host that loses the table refuses keyed work until its lease lapses, so
   // this is short; three renewals may fail before it lapses for no reason.
   absl::Duration lease = absl::Seconds(15);
-  absl::Duration renew_every = absl::Seconds(4);
+  absl::Duration renew_interval = absl::Seconds(4);
   // Bound of the difference of any two hosts' or callers' clocks. Kept by any
   // time service; a larger one could let two hosts run one key.
   absl::Duration clock_skew = absl::Seconds(1);
@@ -35,8 +35,8 @@
 
 // Who may have run a key without a row.
 struct Suspects {
-  std::vector<EntryHostId> to_ask;
-  bool lost = false;  // Someone may have, who is gone with its memory.
+  std::vector<EntryHostId> to_query;
+  bool lost_run = false;  // Someone may have, who is gone with its memory.
   bool operator==(const Suspects&) const = default;
 };
 
@@ -57,13 +57,13 @@
   bool registered() const { return registered_; }
   // Another incarnation has taken this host's name: run no key any more.
   bool superseded() const { return superseded_; }
-  bool Lapsed(absl::Time now) const;
+  bool HasLapsed(absl::Time now) const;
   // When Lapsed() becomes true unless renewed.
   absl::Time LapseTime() const { return until_ + options_.clock_skew; }
   absl::Time until() const { return until_; }
 
   // Whether the last scan is fresh enough for FindSuspects().
-  bool FreshScan(absl::Time now) const;
+  bool IsScanFresh(absl::Time now) const;
 
   // Who may have run, without a row, a key whose own row was sent at
   // `row_sent`. The key was never sent before `first_sent`.
@@ -72,46 +72,46 @@
 
   // Whether a memory that begins at `knows_since` covers the whole life of a
   // key that was never sent before `first_sent`.
-  bool Remembers(absl::Time memory_start, absl::Time first_sent) const;
+  bool SpansKey(absl::Time memory_start, absl::Time first_sent) const;
 
   // Whether some host is gone that may have run the key without a row.
-  bool AnyLost(absl::Time first_sent) const;
+  bool AnyLostRun(absl::Time first_sent) const;
 
   // Hosts that may not have seen this host's name yet. One of them that loses
   // the table would not know to ask us before it runs a key.
-  std::vector<EntryHostId> Unaware() const;
+  std::vector<EntryHostId> UnawareHosts() const;
 
   // Whether one of them may have run the key so, and is gone.
-  bool LostUnaware(absl::Time first_sent) const;
+  bool AnyLostRunUnaware(absl::Time first_sent) const;
 
   // The hosts with a lease row, without this one.
-  std::vector<EntryHostId> Members() const;
+  std::vector<EntryHostId> LeasedPeers() const;
   // The incarnation that holds `host`'s lease row; 0 when there is none.
   Incarnation IncarnationOf(const EntryHostId& host) const;
 
   // Nothing that this host forgot when it started can matter to the key: the
   // key is younger, or everyone was covered then.
-  bool KnowsAll(absl::Time first_sent) const;
+  bool HasFullMemory(absl::Time first_sent) const;
 
   std::string Describe() const;
 
  private:
-  bool Covered(const LeaseRow& lease, absl::Time row_sent,
-               absl::Time now) const;
-  bool Lost(const LeaseRow& lease, absl::Time first_sent) const;
+  bool IsCovered(const LeaseRow& lease, absl::Time row_sent,
+                 absl::Time now) const;
+  bool MayHaveLostRun(const LeaseRow& lease, absl::Time first_sent) const;
   void OnOwnRow(const LeaseRow& row, store::RowVersion version, absl::Time now);
   void Register(absl::Time now);
   // Whether a host whose lease ended at `until` had scanned our name by then.
-  bool Aware(absl::Time until) const;
+  bool IsAware(absl::Time until) const;
 
   CoverageOptions options_;
   EntryHostId self_;
   Incarnation incarnation_;
   absl::Time started_;
-  std::map<EntryHostId, LeaseRow> others_;
+  std::map<EntryHostId, LeaseRow> peers_;
   absl::Time scan_sent_ = absl::InfinitePast();
   bool scanned_once_ = false;
-  bool clean_start_ = false;
+  bool all_covered_at_start_ = false;
   bool registered_ = false;
   bool superseded_ = false;
   store::RowVersion version_ = 0;
@@ -119,8 +119,9 @@
   absl::Time until_ = absl::InfinitePast();  // The latest ever sent.
   absl::Time lost_from_ = absl::UnixEpoch();
   absl::Time lost_until_ = absl::UnixEpoch();
-  absl::Time named_ = absl::InfiniteFuture();
-  bool naming_ = false;  // The row that first takes the name is on its way.
+  absl::Time registered_by_ = absl::InfiniteFuture();
+  bool registering_ =
+      false;  // The row that first takes the name is on its way.
 };
 
 }  // namespace gentianlb::claim
--- a/src/claim/describe.cc
+++ b/src/claim/describe.cc
@@ -13,15 +13,15 @@
 
 std::string KeyMemory::Describe() const {
   std::ostringstream out;
-  for (const auto& [key, askers] : promises_) {
-    for (const Promise& promise : askers) {
+  for (const auto& [key, promises] : promises_) {
+    for (const Promise& promise : promises) {
       out << "promise " << key << ' ' << promise.requester << ' '
           << promise.incarnation << ' ' << Millis(promise.made) << '\n';
     }
   }
-  for (const auto& [key, ended] : ended_) {
-    out << "ended " << key << ' ' << ended.server << ' ' << Millis(ended.ended)
-        << '\n';
+  for (const auto& [key, finished] : finished_) {
+    out << "ended " << key << ' ' << finished.server << ' '
+        << Millis(finished.finished_at) << '\n';
   }
   for (const auto& [token, time] : abandoned_) {
     out << "abandoned " << token << ' ' << Millis(time) << '\n';
@@ -34,8 +34,8 @@
   out << "lease registered=" << registered_ << " superseded=" << superseded_
       << " version=" << version_ << " since=" << Millis(since_)
       << " until=" << Millis(until_) << " scan=" << Millis(scan_sent_)
-      << " clean=" << clean_start_ << '\n';
-  for (const auto& [host, lease] : others_) {
+      << " clean=" << all_covered_at_start_ << '\n';
+  for (const auto& [host, lease] : peers_) {
     out << host << ' ' << lease.incarnation << ' ' << Millis(lease.since) << ' '
         << Millis(lease.until) << ' ' << Millis(lease.lost_until) << '\n';
   }
@@ -51,25 +51,26 @@
       << " tokens=" << next_token_ << '\n';
   for (const auto& [id, claim] : claims_) {
     out << "claim " << id << ' ' << claim.request.key << ' ' << claim.token
-        << " phase=" << static_cast<int>(claim.phase) << " base=" << claim.base
-        << " version=" << claim.version << " maybe=" << claim.maybe_row
-        << " without=" << claim.without_table << " doubt=" << claim.doubt
+        << " phase=" << static_cast<int>(claim.phase)
+        << " base=" << claim.replaced_version << " version=" << claim.version
+        << " maybe=" << claim.row_may_exist
+        << " without=" << claim.without_table << " doubt=" << claim.in_doubt
         << " failed=" << claim.attach_failed
         << " first_sent=" << Millis(claim.first_sent)
         << " row_sent=" << Millis(claim.row_sent) << " server=" << claim.server;
-    if (claim.other) out << " other=" << claim.other->version;
-    for (const Promise& promise : claim.promised) {
+    if (claim.found_row) out << " other=" << claim.found_row->version;
+    for (const Promise& promise : claim.promises) {
       out << " promised=" << promise.requester << promise.incarnation;
     }
-    for (const auto& [call, peer] : claim.asked) out << ' ' << call << peer;
+    for (const auto& [call, peer] : claim.queries) out << ' ' << call << peer;
     out << '\n';
   }
-  for (const auto& [token, closing] : closings_) {
-    out << "closing " << token << " busy=" << closing.busy << '\n';
+  for (const auto& [token, pending] : pending_deletes_) {
+    out << "closing " << token << " busy=" << pending.in_flight << '\n';
   }
-  for (const auto& [token, late] : late_) {
-    out << "late " << token << " busy=" << late.busy << ' '
-        << static_cast<int>(late.row.state) << '\n';
+  for (const auto& [token, deferred] : deferred_) {
+    out << "late " << token << " busy=" << deferred.in_flight << ' '
+        << static_cast<int>(deferred.row.state) << '\n';
   }
   for (const auto& [id, call] : calls_) {
     out << "call " << id << ' ' << static_cast<int>(call.purpose) << '\n';
--- a/src/claim/explore_test.cc
+++ b/src/claim/explore_test.cc
@@ -29,15 +29,15 @@
   int delayed_writes = 0;  // Take effect after their sender gave up.
   int crashes = 0;         // The host comes back as a new incarnation.
   int pauses = 0;
-  int table_cuts = 0;  // One host loses the table, and gets it back.
-  int peer_cuts = 0;   // All hosts lose each other, and get back.
+  int table_outages = 0;    // One host loses the table, and gets it back.
+  int peer_partitions = 0;  // All hosts lose each other, and get back.
   int abandons = 0;
   int not_sent = 0;  // A dispatch that certainly never left.
   auto operator<=>(const Faults&) const = default;
 };
 
 // One sending of the key by its caller.
-struct SendingPlan {
+struct RequestPlan {
   int host = 0;
   int attempt = 0;
 };
@@ -46,21 +46,21 @@
   std::string name;
   int hosts = 2;
   bool idempotent = true;
-  std::vector<SendingPlan> sendings;
+  std::vector<RequestPlan> requests;
   Faults faults;
   std::vector<int> jumps;  // Seconds; each may be taken once.
-  std::vector<int> cut_at_start;
+  std::vector<int> table_down_at_start;
   absl::Duration warm_up = absl::Seconds(20);
   int depth = 12;
-  bool last_joins_late = false;  // A name that nobody knows yet.
+  bool last_host_joins_late = false;  // A name that nobody knows yet.
 };
 
-enum class SendingState {
+enum class RequestState {
   kUnsent,
   kInFlight,
   kOpen,
   kProceed,
-  kWanted,
+  kDispatchRequested,
   kAllowed,
   kRunning,
   kAttached,
@@ -68,15 +68,15 @@
   kLost,  // Its host crashed or its caller left.
 };
 
-struct Sending {
-  SendingPlan plan;
-  SendingState state = SendingState::kUnsent;
+struct Request {
+  RequestPlan plan;
+  RequestState state = RequestState::kUnsent;
   absl::Time sent;
   EntryHostId owner;  // Of an Attach.
   bool refused_as_not_run = false;
 };
 
-enum class MessageKind { kCommit, kRead, kScan, kAsk, kAnswer };
+enum class MessageKind { kCommit, kRead, kScan, kQuery, kAnswer };
 
 struct Message {
   MessageKind kind = MessageKind::kCommit;
@@ -95,7 +95,7 @@
   std::vector<ClaimMachine> machine;  // Empty while crashed.
   Incarnation incarnation = 1;
   bool paused = false;
-  bool table_cut = false;
+  bool table_down = false;
 };
 
 // What led to a state; shared between the states that follow.
@@ -106,15 +106,15 @@
 
 class World {
  public:
-  explicit World(const Model& model) : left_(model.faults) {
+  explicit World(const Model& model) : faults_left_(model.faults) {
     now_ = absl::FromUnixSeconds(1'000'000);
     hosts_.resize(static_cast<std::size_t>(model.hosts));
-    int started = model.last_joins_late ? model.hosts - 1 : model.hosts;
+    int started = model.last_host_joins_late ? model.hosts - 1 : model.hosts;
     for (int h = 0; h < started; ++h) StartHost(h);
     Advance(model.warm_up);
-    for (int h : model.cut_at_start) hosts_[Index(h)].table_cut = true;
-    for (const SendingPlan& plan : model.sendings) {
-      sendings_.push_back({plan, SendingState::kUnsent, {}, {}, false});
+    for (int h : model.table_down_at_start) hosts_[Index(h)].table_down = true;
+    for (const RequestPlan& plan : model.requests) {
+      requests_.push_back({plan, RequestState::kUnsent, {}, {}, false});
     }
     trace_ = nullptr;
     jumps_ = model.jumps;
@@ -135,7 +135,7 @@
   std::string Fingerprint() const {
     std::string text = absl::FormatTime(now_) + std::to_string(executions_);
     for (const Host& host : hosts_) {
-      text += std::to_string(host.paused) + std::to_string(host.table_cut);
+      text += std::to_string(host.paused) + std::to_string(host.table_down);
       if (!host.machine.empty()) text += host.machine[0].Describe();
     }
     for (const auto& [key, row] : table_) {
@@ -154,48 +154,49 @@
                 std::to_string(m.transaction.conditions[0].version);
       }
     }
-    for (const Sending& s : sendings_) {
+    for (const Request& s : requests_) {
       text += std::to_string(static_cast<int>(s.state)) + s.owner.str();
     }
-    text += std::to_string(jumps_.size()) + std::to_string(peers_cut_);
-    for (int left :
-         {left_.lost_answers, left_.delayed_writes, left_.crashes, left_.pauses,
-          left_.table_cuts, left_.peer_cuts, left_.abandons, left_.not_sent}) {
+    text += std::to_string(jumps_.size()) + std::to_string(peers_partitioned_);
+    for (int left : {faults_left_.lost_answers, faults_left_.delayed_writes,
+                     faults_left_.crashes, faults_left_.pauses,
+                     faults_left_.table_outages, faults_left_.peer_partitions,
+                     faults_left_.abandons, faults_left_.not_sent}) {
       text += std::to_string(left) + ',';
     }
     return text;
   }
 
   // Every state that one step leads to.
-  std::vector<World> Next() const {
+  std::vector<World> Successors() const {
     std::vector<World> next;
-    NextMessages(&next);
-    NextSendings(&next);
-    NextFaults(&next);
-    NextJumps(&next);
+    AddMessageSteps(&next);
+    AddRequestSteps(&next);
+    AddFaultSteps(&next);
+    AddTimeJumps(&next);
     return next;
   }
 
   // No more faults: everything heals, every message arrives, time passes.
   void Settle() {
-    left_ = {};
-    peers_cut_ = false;
-    for (Host& host : hosts_) host.paused = host.table_cut = false;
+    faults_left_ = {};
+    peers_partitioned_ = false;
+    for (Host& host : hosts_) host.paused = host.table_down = false;
     for (int h = 0; h < static_cast<int>(hosts_.size()); ++h) {
       if (hosts_[Index(h)].machine.empty()) Restart(h);
     }
-    for (int round = 0; round < 40 && !(AllEnded() && round > 2); ++round) {
+    for (int round = 0; round < 40 && !(AllFinished() && round > 2); ++round) {
       while (!messages_.empty()) Deliver(0, Fate::kArrives);
-      for (std::size_t i = 0; i < sendings_.size(); ++i) {
-        bool over = i > 0 && now_ - sendings_[0].sent > kWindow;
-        if (sendings_[i].state == SendingState::kUnsent && over) {
-          sendings_[i].state = SendingState::kLost;
+      for (std::size_t i = 0; i < requests_.size(); ++i) {
+        bool over = i > 0 && now_ - requests_[0].sent > kWindow;
+        if (requests_[i].state == RequestState::kUnsent && over) {
+          requests_[i].state = RequestState::kLost;
         }
-        Serve(i);
+        AdvanceRequest(i);
       }
       if (messages_.empty()) Advance(kTickStep);
     }
-    if (!AllEnded()) violation_ = "a request has no final answer";
+    if (!AllFinished()) violation_ = "a request has no final answer";
     Trace("settle");
   }
 
@@ -204,9 +205,9 @@
 
   static std::size_t Index(int host) { return static_cast<std::size_t>(host); }
 
-  bool AllEnded() const {
-    return std::all_of(sendings_.begin(), sendings_.end(), [](auto& s) {
-      return s.state == SendingState::kFinal || s.state == SendingState::kLost;
+  bool AllFinished() const {
+    return std::all_of(requests_.begin(), requests_.end(), [](auto& s) {
+      return s.state == RequestState::kFinal || s.state == RequestState::kLost;
     });
   }
 
@@ -234,7 +235,7 @@
     Tick(h);
   }
 
-  void Tell(int host, const Event& event) {
+  void Handle(int host, const Event& event) {
     std::vector<Action> actions;
     MachineOf(host).Handle(event, now_, &actions);
     Perform(host, std::move(actions));
@@ -242,7 +243,7 @@
 
   void Perform(int host, std::vector<Action> actions) {
     for (Action& action : actions) {
-      std::visit([&](auto& one) { Do(host, std::move(one)); }, action);
+      std::visit([&](auto& action) { Do(host, std::move(action)); }, action);
     }
   }
 
@@ -255,57 +256,57 @@
     return message;
   }
 
-  void Do(int host, CommitCall one) {
-    Message message = NewMessage(MessageKind::kCommit, host, one.call);
-    message.transaction = std::move(one.transaction);
+  void Do(int host, CommitCall action) {
+    Message message = NewMessage(MessageKind::kCommit, host, action.call);
+    message.transaction = std::move(action.transaction);
     messages_.push_back(std::move(message));
   }
-  void Do(int host, ReadCall one) {
-    Message message = NewMessage(MessageKind::kRead, host, one.call);
-    message.keys = std::move(one.keys);
+  void Do(int host, ReadCall action) {
+    Message message = NewMessage(MessageKind::kRead, host, action.call);
+    message.keys = std::move(action.keys);
     messages_.push_back(std::move(message));
   }
-  void Do(int host, const ScanCall& one) {
-    messages_.push_back(NewMessage(MessageKind::kScan, host, one.call));
+  void Do(int host, const ScanCall& action) {
+    messages_.push_back(NewMessage(MessageKind::kScan, host, action.call));
   }
-  void Do(int host, AskCall one) {
-    Message message = NewMessage(MessageKind::kAsk, host, one.call);
-    message.peer = one.peer.str()[0] - 'a';
-    message.query = std::move(one.query);
+  void Do(int host, QueryCall action) {
+    Message message = NewMessage(MessageKind::kQuery, host, action.call);
+    message.peer = action.peer.str()[0] - 'a';
+    message.query = std::move(action.query);
     messages_.push_back(std::move(message));
   }
-  void Do(int /*host*/, const VerdictGiven& one) {
-    Sending& sending = sendings_[one.id - 1];
-    if (std::holds_alternative<Proceed>(one.verdict)) {
-      sending.state = SendingState::kProceed;
-    } else if (const auto* attach = std::get_if<Attach>(&one.verdict)) {
-      sending.state = SendingState::kAttached;
-      sending.owner = attach->owner;
+  void Do(int /*host*/, const VerdictGiven& action) {
+    Request& request = requests_[action.id - 1];
+    if (std::holds_alternative<Proceed>(action.verdict)) {
+      request.state = RequestState::kProceed;
+    } else if (const auto* attach = std::get_if<Attach>(&action.verdict)) {
+      request.state = RequestState::kAttached;
+      request.owner = attach->owner;
     } else {
-      sending.state = SendingState::kFinal;
-      const auto* refusal = std::get_if<Refuse>(&one.verdict);
-      sending.refused_as_not_run =
+      request.state = RequestState::kFinal;
+      const auto* refusal = std::get_if<Refuse>(&action.verdict);
+      request.refused_as_not_run =
           refusal != nullptr &&
           gentianlb::Describe(refusal->error.code).run == RunState::kNo;
     }
   }
-  void Do(int host, const DispatchAnswered& one) {
-    Sending& sending = sendings_[one.id - 1];
-    if (!one.refusal) {
-      sending.state = SendingState::kAllowed;
+  void Do(int host, const DispatchAnswered& action) {
+    Request& request = requests_[action.id - 1];
+    if (!action.refusal) {
+      request.state = RequestState::kAllowed;
       return;
     }
-    sending.state = SendingState::kFinal;
-    Tell(host, Abandoned{one.id});
+    request.state = RequestState::kFinal;
+    Handle(host, ClaimAbandoned{action.id});
   }
 
   // --- Messages -------------------------------------------------------------
 
   bool TableReachable(const Message& message) const {
-    return message.orphaned || !hosts_[Index(message.host)].table_cut;
+    return message.orphaned || !hosts_[Index(message.host)].table_down;
   }
 
-  void NextMessages(std::vector<World>* next) const {
+  void AddMessageSteps(std::vector<World>* next) const {
     for (std::size_t i = 0; i < messages_.size(); ++i) {
       const Message& m = messages_[i];
       // What waits for a paused host arrives when it wakes.
@@ -313,11 +314,11 @@
       if (waits && !hosts_[Index(m.host)].machine.empty()) continue;
       Branch(next, i, Fate::kArrives);
       bool write = m.kind == MessageKind::kCommit && !m.orphaned;
-      if (write && TableReachable(m) && left_.lost_answers > 0) {
+      if (write && TableReachable(m) && faults_left_.lost_answers > 0) {
         Branch(next, i, Fate::kAnswerLost);
         Branch(next, i, Fate::kLostBefore);
       }
-      if (write && TableReachable(m) && left_.delayed_writes > 0) {
+      if (write && TableReachable(m) && faults_left_.delayed_writes > 0) {
         Branch(next, i, Fate::kDelayed);
       }
     }
@@ -326,9 +327,9 @@
   void Branch(std::vector<World>* next, std::size_t i, Fate fate) const {
     next->push_back(*this);
     World& world = next->back();
-    if (fate == Fate::kAnswerLost) --world.left_.lost_answers;
-    if (fate == Fate::kLostBefore) --world.left_.lost_answers;
-    if (fate == Fate::kDelayed) --world.left_.delayed_writes;
+    if (fate == Fate::kAnswerLost) --world.faults_left_.lost_answers;
+    if (fate == Fate::kLostBefore) --world.faults_left_.lost_answers;
+    if (fate == Fate::kDelayed) --world.faults_left_.delayed_writes;
     world.Deliver(i, fate);
   }
 
@@ -338,7 +339,7 @@
     Trace("deliver " + std::to_string(static_cast<int>(m.kind)) + " of " +
           Name(m.host).str() + " fate " +
           std::to_string(static_cast<int>(fate)));
-    if (m.kind == MessageKind::kAsk) return DeliverQuery(m);
+    if (m.kind == MessageKind::kQuery) return DeliverQuery(m);
     if (m.kind == MessageKind::kAnswer) {
       return Reply(m, PeerAnswered{m.call, m.answer});
     }
@@ -399,7 +400,7 @@
   }
 
   void DeliverQuery(const Message& m) {
-    if (!Awake(m.peer) || peers_cut_) {
+    if (!Awake(m.peer) || peers_partitioned_) {
       Reply(m, PeerAnswered{m.call, std::nullopt});
       return;
     }
@@ -414,66 +415,67 @@
   void Reply(const Message& m, const Event& event) {
     bool alive = !hosts_[Index(m.host)].machine.empty() &&
                  hosts_[Index(m.host)].incarnation == m.incarnation;
-    if (alive && !m.orphaned) Tell(m.host, event);
+    if (alive && !m.orphaned) Handle(m.host, event);
   }
 
   // --- Callers and entry hosts ----------------------------------------------
 
-  void NextSendings(std::vector<World>* next) const {
-    for (std::size_t i = 0; i < sendings_.size(); ++i) {
-      const Sending& s = sendings_[i];
+  void AddRequestSteps(std::vector<World>* next) const {
+    for (std::size_t i = 0; i < requests_.size(); ++i) {
+      const Request& s = requests_[i];
       // A caller sends again only after its first sending.
-      bool turn = i == 0 || sendings_[i - 1].state != SendingState::kUnsent;
-      if (i > 0 && now_ - sendings_[0].sent > kWindow) turn = false;
-      if (s.state == SendingState::kUnsent && !turn) continue;
-      bool finished =
-          s.state == SendingState::kFinal || s.state == SendingState::kLost ||
-          s.state == SendingState::kOpen || s.state == SendingState::kWanted;
+      bool may_send = i == 0 || requests_[i - 1].state != RequestState::kUnsent;
+      if (i > 0 && now_ - requests_[0].sent > kWindow) may_send = false;
+      if (s.state == RequestState::kUnsent && !may_send) continue;
+      bool finished = s.state == RequestState::kFinal ||
+                      s.state == RequestState::kLost ||
+                      s.state == RequestState::kOpen ||
+                      s.state == RequestState::kDispatchRequested;
       if (finished) continue;
-      bool at_host = s.state != SendingState::kUnsent;
+      bool at_host = s.state != RequestState::kUnsent;
       if (at_host && !Awake(s.plan.host)) continue;
       next->push_back(*this);
-      next->back().Serve(i);
-      if (s.state == SendingState::kProceed && left_.abandons > 0) {
+      next->back().AdvanceRequest(i);
+      if (s.state == RequestState::kProceed && faults_left_.abandons > 0) {
         next->push_back(*this);
-        --next->back().left_.abandons;
+        --next->back().faults_left_.abandons;
         next->back().Abandon(i);
       }
-      if (s.state == SendingState::kAllowed && left_.not_sent > 0) {
+      if (s.state == RequestState::kAllowed && faults_left_.not_sent > 0) {
         next->push_back(*this);
-        --next->back().left_.not_sent;
-        next->back().NotSent(i);
+        --next->back().faults_left_.not_sent;
+        next->back().ReportNotSent(i);
       }
     }
   }
 
   // The next thing that an entry host or a caller does with a sending.
-  void Serve(std::size_t i) {
-    Sending& s = sendings_[i];
+  void AdvanceRequest(std::size_t i) {
+    Request& s = requests_[i];
     ClaimId id = i + 1;
     int host = s.plan.host;
     switch (s.state) {
-      case SendingState::kUnsent:
-        s.state = SendingState::kInFlight;
+      case RequestState::kUnsent:
+        s.state = RequestState::kInFlight;
         s.sent = now_;
         break;
-      case SendingState::kInFlight:
-        s.state = SendingState::kOpen;
-        Tell(host, Opened{id, RequestOf(s)});
+      case RequestState::kInFlight:
+        s.state = RequestState::kOpen;
+        Handle(host, ClaimOpened{id, RequestOf(s)});
         break;
-      case SendingState::kProceed:
-        s.state = SendingState::kWanted;
-        Tell(host, DispatchWanted{id, ServerId("server")});
+      case RequestState::kProceed:
+        s.state = RequestState::kDispatchRequested;
+        Handle(host, DispatchRequested{id, ServerId("server")});
         break;
-      case SendingState::kAllowed:
+      case RequestState::kAllowed:
         Execute(&s);
         break;
-      case SendingState::kRunning:
-        s.state = SendingState::kFinal;
-        Tell(host, DispatchEnded{id, true});
+      case RequestState::kRunning:
+        s.state = RequestState::kFinal;
+        Handle(host, DispatchFinished{id, true});
         break;
-      case SendingState::kAttached:
-        FollowAttach(&s, id);
+      case RequestState::kAttached:
+        ResolveAttach(&s, id);
         break;
       default:
         return;
@@ -482,7 +484,7 @@
           std::to_string(static_cast<int>(s.state)));
   }
 
-  ClaimRequest RequestOf(const Sending& s) const {
+  ClaimRequest RequestOf(const Request& s) const {
     ClaimRequest request;
     request.key = Key();
     request.body_digest = "body";
@@ -491,49 +493,49 @@
     return request;
   }
 
-  void Execute(Sending* s) {
-    s->state = SendingState::kRunning;
+  void Execute(Request* s) {
+    s->state = RequestState::kRunning;
     ++executions_;
     if (executions_ > 1) violation_ = "two servers received the key";
     if (s->refused_as_not_run) violation_ = "ran after a refusal said not run";
   }
 
-  void FollowAttach(Sending* s, ClaimId id) {
+  void ResolveAttach(Request* s, ClaimId id) {
     int owner = s->owner.str()[0] - 'a';
-    bool there = Awake(owner) && !peers_cut_ && HasIt(owner);
+    bool there = Awake(owner) && !peers_partitioned_ && HoldsKey(owner);
     if (there) {
-      s->state = SendingState::kFinal;
-      Tell(s->plan.host, Abandoned{id});
+      s->state = RequestState::kFinal;
+      Handle(s->plan.host, ClaimAbandoned{id});
     } else {
-      s->state = SendingState::kOpen;
-      Tell(s->plan.host, AttachFailed{id});
+      s->state = RequestState::kOpen;
+      Handle(s->plan.host, AttachFailed{id});
     }
   }
 
-  bool HasIt(int owner) const {
-    return std::any_of(sendings_.begin(), sendings_.end(), [&](auto& s) {
-      return s.plan.host == owner && s.state != SendingState::kUnsent &&
-             s.state != SendingState::kInFlight &&
-             s.state != SendingState::kAttached &&
-             s.state != SendingState::kLost && s.state != SendingState::kFinal;
+  bool HoldsKey(int owner) const {
+    return std::any_of(requests_.begin(), requests_.end(), [&](auto& s) {
+      return s.plan.host == owner && s.state != RequestState::kUnsent &&
+             s.state != RequestState::kInFlight &&
+             s.state != RequestState::kAttached &&
+             s.state != RequestState::kLost && s.state != RequestState::kFinal;
     });
   }
 
   void Abandon(std::size_t i) {
-    sendings_[i].state = SendingState::kLost;
+    requests_[i].state = RequestState::kLost;
     Trace("abandon " + std::to_string(i + 1));
-    Tell(sendings_[i].plan.host, Abandoned{i + 1});
+    Handle(requests_[i].plan.host, ClaimAbandoned{i + 1});
   }
 
-  void NotSent(std::size_t i) {
-    sendings_[i].state = SendingState::kProceed;
+  void ReportNotSent(std::size_t i) {
+    requests_[i].state = RequestState::kProceed;
     Trace("not sent " + std::to_string(i + 1));
-    Tell(sendings_[i].plan.host, DispatchEnded{i + 1, false});
+    Handle(requests_[i].plan.host, DispatchFinished{i + 1, false});
   }
 
   // --- Faults and time ------------------------------------------------------
 
-  void NextFaults(std::vector<World>* next) const {
+  void AddFaultSteps(std::vector<World>* next) const {
     for (int h = 0; h < static_cast<int>(hosts_.size()); ++h) {
       const Host& host = hosts_[Index(h)];
       if (host.machine.empty()) {
@@ -542,47 +544,47 @@
         next->back().Restart(h);
         continue;
       }
-      if (host.paused || left_.pauses > 0) {
+      if (host.paused || faults_left_.pauses > 0) {
         next->push_back(*this);
         World& world = next->back();
-        if (!host.paused) --world.left_.pauses;
+        if (!host.paused) --world.faults_left_.pauses;
         world.Trace((host.paused ? "wake " : "pause ") + Name(h).str());
         world.hosts_[Index(h)].paused = !host.paused;
       }
-      if (left_.crashes > 0) {
+      if (faults_left_.crashes > 0) {
         next->push_back(*this);
         next->back().Crash(h);
       }
-      if (host.table_cut || left_.table_cuts > 0) {
+      if (host.table_down || faults_left_.table_outages > 0) {
         next->push_back(*this);
         World& world = next->back();
-        if (!host.table_cut) --world.left_.table_cuts;
-        world.Trace((host.table_cut ? "rejoin " : "cut ") + Name(h).str());
-        world.hosts_[Index(h)].table_cut = !host.table_cut;
+        if (!host.table_down) --world.faults_left_.table_outages;
+        world.Trace((host.table_down ? "rejoin " : "cut ") + Name(h).str());
+        world.hosts_[Index(h)].table_down = !host.table_down;
       }
     }
-    if (peers_cut_ || left_.peer_cuts > 0) {
+    if (peers_partitioned_ || faults_left_.peer_partitions > 0) {
       next->push_back(*this);
       World& world = next->back();
-      if (!peers_cut_) --world.left_.peer_cuts;
-      world.peers_cut_ = !peers_cut_;
+      if (!peers_partitioned_) --world.faults_left_.peer_partitions;
+      world.peers_partitioned_ = !peers_partitioned_;
       world.Trace("toggle peers");
     }
   }
 
   void Crash(int h) {
-    --left_.crashes;
+    --faults_left_.crashes;
     Trace("crash " + Name(h).str());
     hosts_[Index(h)].machine.clear();
     hosts_[Index(h)].paused = false;
-    for (Sending& s : sendings_) {
-      bool there = s.plan.host == h && s.state != SendingState::kUnsent &&
-                   s.state != SendingState::kFinal;
-      if (there) s.state = SendingState::kLost;
+    for (Request& s : requests_) {
+      bool there = s.plan.host == h && s.state != RequestState::kUnsent &&
+                   s.state != RequestState::kFinal;
+      if (there) s.state = RequestState::kLost;
     }
   }
 
-  void NextJumps(std::vector<World>* next) const {
+  void AddTimeJumps(std::vector<World>* next) const {
     if (jumps_.empty()) return;
     // The transports give up within two seconds, so that nothing of an awake
     // host stays under way for as long as a jump.
@@ -605,18 +607,18 @@
         if (Awake(h)) Tick(h);
       }
     }
-    for (Sending& s : sendings_) {
+    for (Request& s : requests_) {
       // The HTTP server drops a message that isn't whole after 30 s.
       bool late = now_ - s.sent > absl::Seconds(30) && Awake(s.plan.host);
-      if (s.state == SendingState::kInFlight && late) {
-        s.state = SendingState::kLost;
+      if (s.state == RequestState::kInFlight && late) {
+        s.state = RequestState::kLost;
       }
     }
   }
 
   // One tick; the calls for the lease are answered at once.
   void Tick(int h) {
-    Tell(h, TimePassed{});
+    Handle(h, TimerFired{});
     for (int round = 0; round < 3; ++round) DeliverLeaseCalls(h);
   }
 
@@ -639,161 +641,161 @@
   std::map<std::string, store::Row> table_;
   store::RowVersion last_version_ = 0;
   std::vector<Message> messages_;
-  std::vector<Sending> sendings_;
+  std::vector<Request> requests_;
   std::vector<int> jumps_;
-  Faults left_;
-  bool peers_cut_ = false;
+  Faults faults_left_;
+  bool peers_partitioned_ = false;
   bool idempotent_ = true;
   int executions_ = 0;
   std::string violation_;
   std::shared_ptr<const Step> trace_;
 };
 
-struct Explored {
+struct ExploreResult {
   std::size_t states = 0;
   std::string violation;
   bool ran = false;  // Some path ended with the key executed.
 };
 
 // Breadth first, so that the first violation has the shortest trace.
-Explored Explore(const Model& model) {
-  Explored explored;
+ExploreResult Explore(const Model& model) {
+  ExploreResult result;
   absl::flat_hash_set<std::uint64_t> seen;
   std::vector<World> level = {World(model)};
   for (int depth = 0; depth <= model.depth; ++depth) {
-    std::vector<World> following;
+    std::vector<World> next_level;
     for (const World& world : level) {
-      ++explored.states;
-      std::vector<World> successors = world.Next();
+      ++result.states;
+      std::vector<World> successors = world.Successors();
       bool leaf = depth == model.depth || successors.empty();
-      World ended = world;
-      if (leaf) ended.Settle();
-      explored.ran = explored.ran || ended.executions() == 1;
-      if (!ended.violation().empty()) {
-        explored.violation = ended.violation() + ": " + ended.trace();
-        return explored;
+      World settled = world;
+      if (leaf) settled.Settle();
+      result.ran = result.ran || settled.executions() == 1;
+      if (!settled.violation().empty()) {
+        result.violation = settled.violation() + ": " + settled.trace();
+        return result;
       }
       if (leaf) continue;
       for (World& next : successors) {
         if (!seen.insert(absl::HashOf(next.Fingerprint())).second) continue;
-        following.push_back(std::move(next));
+        next_level.push_back(std::move(next));
       }
     }
-    level = std::move(following);
+    level = std::move(next_level);
   }
-  return explored;
+  return result;
 }
 
-void Check(const Model& model) {
+void CheckModel(const Model& model) {
   absl::Time start = absl::Now();
-  Explored explored = Explore(model);
-  BOOST_TEST_MESSAGE(model.name << ": " << explored.states << " states, "
+  ExploreResult result = Explore(model);
+  BOOST_TEST_MESSAGE(model.name << ": " << result.states << " states, "
                                 << absl::Now() - start);
-  BOOST_TEST(explored.violation == "");
-  BOOST_TEST(explored.ran);
+  BOOST_TEST(result.violation == "");
+  BOOST_TEST(result.ran);
 }
 
 // A caller's first sending seems lost, and it sends the key again through
 // another host while the table loses answers and writes take effect late.
 // Without reading a row back by its own token, the call would run twice.
 BOOST_AUTO_TEST_CASE(LostAnswersOfTheTable) {
-  Check({.name = "lost answers",
-         .sendings = {{0, 1}, {1, 2}},
-         .faults = {.lost_answers = 1, .delayed_writes = 1},
-         .depth = 13});
+  CheckModel({.name = "lost answers",
+              .requests = {{0, 1}, {1, 2}},
+              .faults = {.lost_answers = 1, .delayed_writes = 1},
+              .depth = 13});
 }
 
 // A refund is sent twice through two hosts, one of which is paused, or dies,
 // between its claim and its dispatch. The subscriber would be refunded twice if
 // the paused host still dispatched after the other had replaced its row.
 BOOST_AUTO_TEST_CASE(PausedOwnerOfANonIdempotentCall) {
-  Check({.name = "non-idempotent, pause and crash",
-         .idempotent = false,
-         .sendings = {{0, 1}, {1, 2}},
-         .faults = {.lost_answers = 1, .crashes = 1, .pauses = 1},
-         .depth = 12});
+  CheckModel({.name = "non-idempotent, pause and crash",
+              .idempotent = false,
+              .requests = {{0, 1}, {1, 2}},
+              .faults = {.lost_answers = 1, .crashes = 1, .pauses = 1},
+              .depth = 12});
 }
 
 // One host loses the table for longer than its lease; the caller's first
 // sending reaches that host and its re-send the other, which still has the
 // table and finds no row. Both would run it if the second didn't see the lapse.
-BOOST_AUTO_TEST_CASE(AHostWithoutTheTable) {
-  Check({.name = "one host cut from the table",
-         .sendings = {{0, 1}, {1, 2}},
-         .faults = {.pauses = 1, .peer_cuts = 1},
-         .jumps = {35, 35, 20},
-         .cut_at_start = {0},
-         .depth = 11});
+BOOST_AUTO_TEST_CASE(OneHostWithoutTheTable) {
+  CheckModel({.name = "one host cut from the table",
+              .requests = {{0, 1}, {1, 2}},
+              .faults = {.pauses = 1, .peer_partitions = 1},
+              .jumps = {35, 35, 20},
+              .table_down_at_start = {0},
+              .depth = 11});
 }
 
 // The platform is out for everybody, and the caller doesn't mark its sendings.
 // Two hosts ask each other about the same key at the same time.
-BOOST_AUTO_TEST_CASE(NobodyHasTheTable) {
-  Check({.name = "platform out, unmarked",
-         .sendings = {{0, 0}, {1, 0}},
-         .faults = {.crashes = 1, .pauses = 1},
-         .jumps = {35, 20},
-         .cut_at_start = {0, 1},
-         .warm_up = absl::Minutes(12),
-         .depth = 10});
+BOOST_AUTO_TEST_CASE(TableDownForAllHosts) {
+  CheckModel({.name = "platform out, unmarked",
+              .requests = {{0, 0}, {1, 0}},
+              .faults = {.crashes = 1, .pauses = 1},
+              .jumps = {35, 20},
+              .table_down_at_start = {0, 1},
+              .warm_up = absl::Minutes(12),
+              .depth = 10});
 }
 
 // The platform is out and comes back at one host after the other. A key that
 // ran without a row must not run again at the host that is back first.
-BOOST_AUTO_TEST_CASE(TheTableComesBack) {
-  Check({.name = "platform returns",
-         .sendings = {{0, 1}, {1, 2}},
-         .faults = {.lost_answers = 1, .crashes = 1},
-         .jumps = {35, 35, 8},
-         .cut_at_start = {0, 1},
-         .depth = 11});
+BOOST_AUTO_TEST_CASE(TableRecoversAtOneHostFirst) {
+  CheckModel({.name = "platform returns",
+              .requests = {{0, 1}, {1, 2}},
+              .faults = {.lost_answers = 1, .crashes = 1},
+              .jumps = {35, 35, 8},
+              .table_down_at_start = {0, 1},
+              .depth = 11});
 }
 
 // A caller gives up before the dispatch, or no byte could be sent, and sends
 // the key again. A claim that nobody closed would block the key; one that is
 // closed too early would let it run twice.
 BOOST_AUTO_TEST_CASE(AbandonedClaims) {
-  Check({.name = "abandoned",
-         .sendings = {{0, 1}, {1, 2}, {0, 3}},
-         .faults = {.delayed_writes = 1, .abandons = 1, .not_sent = 1},
-         .depth = 12});
+  CheckModel({.name = "abandoned",
+              .requests = {{0, 1}, {1, 2}, {0, 3}},
+              .faults = {.delayed_writes = 1, .abandons = 1, .not_sent = 1},
+              .depth = 12});
 }
 
 // Two hosts of three have lost the table, and the caller's unmarked sendings
 // reach all of them. The third is asked by both and must remember both.
-BOOST_AUTO_TEST_CASE(TwoOfThreeWithoutTheTable) {
-  Check({.name = "two of three without the table",
-         .hosts = 3,
-         .sendings = {{0, 0}, {1, 0}, {2, 0}},
-         .faults = {.crashes = 1},
-         .jumps = {20},
-         .cut_at_start = {0, 1},
-         .warm_up = absl::Minutes(12),
-         .depth = 8});
+BOOST_AUTO_TEST_CASE(TwoOfThreeHostsWithoutTheTable) {
+  CheckModel({.name = "two of three without the table",
+              .hosts = 3,
+              .requests = {{0, 0}, {1, 0}, {2, 0}},
+              .faults = {.crashes = 1},
+              .jumps = {20},
+              .table_down_at_start = {0, 1},
+              .warm_up = absl::Minutes(12),
+              .depth = 8});
 }
 
 // A host with a new name joins while another has lost the table and can't have
 // heard of it. What the new host runs, the other must not run again.
-BOOST_AUTO_TEST_CASE(AHostWithANewName) {
-  Check({.name = "new name",
-         .hosts = 3,
-         .sendings = {{2, 1}, {0, 2}},
-         .faults = {.crashes = 1},
-         .jumps = {20},
-         .cut_at_start = {0},
-         .warm_up = absl::Minutes(12),
-         .depth = 9,
-         .last_joins_late = true});
+BOOST_AUTO_TEST_CASE(HostWithNewNameJoins) {
+  CheckModel({.name = "new name",
+              .hosts = 3,
+              .requests = {{2, 1}, {0, 2}},
+              .faults = {.crashes = 1},
+              .jumps = {20},
+              .table_down_at_start = {0},
+              .warm_up = absl::Minutes(12),
+              .depth = 9,
+              .last_host_joins_late = true});
 }
 
 BOOST_AUTO_TEST_CASE(ThreeHosts) {
-  Check({.name = "three hosts",
-         .hosts = 3,
-         .sendings = {{0, 1}, {1, 2}, {2, 3}},
-         .faults = {.crashes = 1, .table_cuts = 1},
-         .jumps = {35, 35},
-         .cut_at_start = {0},
-         .depth = 8});
+  CheckModel({.name = "three hosts",
+              .hosts = 3,
+              .requests = {{0, 1}, {1, 2}, {2, 3}},
+              .faults = {.crashes = 1, .table_outages = 1},
+              .jumps = {35, 35},
+              .table_down_at_start = {0},
+              .depth = 8});
 }
 
 }  // namespace
--- a/src/claim/key_memory.cc
+++ b/src/claim/key_memory.cc
@@ -7,12 +7,12 @@
 bool KeyMemory::AddPromise(const ClaimKey& key, Promise promise) {
   bool known = promises_.contains(key);
   if (!known && promises_.size() >= kMaxEntries) return false;
-  std::vector<Promise>& askers = promises_[key];
-  std::erase_if(askers, [&](const Promise& earlier) {
+  std::vector<Promise>& promises = promises_[key];
+  std::erase_if(promises, [&](const Promise& earlier) {
     return earlier.requester == promise.requester &&
            earlier.incarnation == promise.incarnation;
   });
-  askers.push_back(std::move(promise));
+  promises.push_back(std::move(promise));
   return true;
 }
 
@@ -21,13 +21,13 @@
   return found == promises_.end() ? std::vector<Promise>() : found->second;
 }
 
-void KeyMemory::AddEnded(const ClaimKey& key, EndedKey ended) {
-  ended_[key] = std::move(ended);
+void KeyMemory::AddFinished(const ClaimKey& key, FinishedKey finished) {
+  finished_[key] = std::move(finished);
 }
 
-std::optional<EndedKey> KeyMemory::FindEnded(const ClaimKey& key) const {
-  auto found = ended_.find(key);
-  if (found == ended_.end()) return std::nullopt;
+std::optional<FinishedKey> KeyMemory::FindFinished(const ClaimKey& key) const {
+  auto found = finished_.find(key);
+  if (found == finished_.end()) return std::nullopt;
   return found->second;
 }
 
@@ -44,7 +44,8 @@
   std::erase_if(promises_, [&](const auto& entry) {
     return entry.second.back().made < time;
   });
-  std::erase_if(ended_, [&](const auto& e) { return e.second.ended < time; });
+  std::erase_if(finished_,
+                [&](const auto& e) { return e.second.finished_at < time; });
   std::erase_if(abandoned_, [&](const auto& e) { return e.second < time; });
 }
 
--- a/src/claim/key_memory.h
+++ b/src/claim/key_memory.h
@@ -26,11 +26,11 @@
 };
 
 // A key that ran here.
-struct EndedKey {
+struct FinishedKey {
   ServerId server;
   std::string body_digest;
-  absl::Time ended;
-  bool operator==(const EndedKey&) const = default;
+  absl::Time finished_at;
+  bool operator==(const FinishedKey&) const = default;
 };
 
 class KeyMemory {
@@ -45,8 +45,8 @@
   // necessarily the last.
   std::vector<Promise> FindPromises(const ClaimKey& key) const;
 
-  void AddEnded(const ClaimKey& key, EndedKey ended);
-  std::optional<EndedKey> FindEnded(const ClaimKey& key) const;
+  void AddFinished(const ClaimKey& key, FinishedKey finished);
+  std::optional<FinishedKey> FindFinished(const ClaimKey& key) const;
 
   // A claim's token under which nothing will ever be dispatched.
   void AddAbandoned(const std::string& token, absl::Time now);
@@ -58,7 +58,7 @@
 
  private:
   std::map<ClaimKey, std::vector<Promise>> promises_;
-  std::map<ClaimKey, EndedKey> ended_;
+  std::map<ClaimKey, FinishedKey> finished_;
   std::map<std::string, absl::Time> abandoned_;
 };
 
--- a/src/claim/keys.cc
+++ b/src/claim/keys.cc
@@ -12,7 +12,7 @@
 
 // Of a UUID in its text form, RFC 9562.
 constexpr std::size_t kUuidLength = 36;
-constexpr std::size_t kUuidVersionAt = 14;
+constexpr std::size_t kUuidVersionOffset = 14;
 constexpr std::size_t kUuidTimeDigits = 12;
 
 std::string HexDigest(std::string_view bytes) {
@@ -39,7 +39,7 @@
 std::optional<absl::Time> TimeOfKey(const IdempotencyKey& key) {
   const std::string& text = key.str();
   if (text.size() != kUuidLength) return std::nullopt;
-  if (text[kUuidVersionAt] != '7') return std::nullopt;
+  if (text[kUuidVersionOffset] != '7') return std::nullopt;
   std::string digits = text.substr(0, 8) + text.substr(9, 4);
   if (digits.size() != kUuidTimeDigits) return std::nullopt;
   std::int64_t millis = 0;
--- a/src/claim/messages.h
+++ b/src/claim/messages.h
@@ -98,7 +98,7 @@
 enum class PeerState {
   kNotHeld,    // Not known here, and promised.
   kHeld,       // Waiting or running here: attach.
-  kEnded,      // Ran here; `server` has the stream if anyone has.
+  kFinished,   // Ran here; `server` has the stream if anyone has.
   kAbandoned,  // Was held here, and never will be dispatched under its token.
   kNoPromise,  // Not known, but can't be promised: as good as no answer.
 };
@@ -117,26 +117,26 @@
 // Names a table or peer call until its answer.
 using CallId = std::uint64_t;
 
-struct Opened {
+struct ClaimOpened {
   ClaimId id = 0;
   ClaimRequest request;
 };
 
 // A server was granted; DispatchAllowed says whether the first byte may leave.
-struct DispatchWanted {
+struct DispatchRequested {
   ClaimId id = 0;
   ServerId server;
 };
 
 // The request ended after its dispatch. `sent` is false only when it is certain
 // that no byte left, so that another server may be wanted.
-struct DispatchEnded {
+struct DispatchFinished {
   ClaimId id = 0;
   bool sent = true;
 };
 
 // The caller left or the request was refused before its dispatch.
-struct Abandoned {
+struct ClaimAbandoned {
   ClaimId id = 0;
 };
 
@@ -162,11 +162,11 @@
   std::optional<PeerAnswer> answer;
 };
 
-struct TimePassed {};
+struct TimerFired {};
 
-using Event =
-    std::variant<Opened, DispatchWanted, DispatchEnded, Abandoned, AttachFailed,
-                 CommitAnswered, ReadAnswered, PeerAnswered, TimePassed>;
+using Event = std::variant<ClaimOpened, DispatchRequested, DispatchFinished,
+                           ClaimAbandoned, AttachFailed, CommitAnswered,
+                           ReadAnswered, PeerAnswered, TimerFired>;
 
 struct CommitCall {
   CallId call = 0;
@@ -186,11 +186,11 @@
   bool operator==(const ScanCall&) const = default;
 };
 
-struct AskCall {
+struct QueryCall {
   CallId call = 0;
   EntryHostId peer;
   PeerQuery query;
-  bool operator==(const AskCall&) const = default;
+  bool operator==(const QueryCall&) const = default;
 };
 
 struct VerdictGiven {
@@ -206,7 +206,7 @@
   bool operator==(const DispatchAnswered&) const = default;
 };
 
-using Action = std::variant<CommitCall, ReadCall, ScanCall, AskCall,
+using Action = std::variant<CommitCall, ReadCall, ScanCall, QueryCall,
                             VerdictGiven, DispatchAnswered>;
 
 }  // namespace gentianlb::claim
--- a/src/claim/rows.cc
+++ b/src/claim/rows.cc
@@ -48,17 +48,17 @@
   json["until"] = Micros(row.until);
   json["lost_from"] = Micros(row.lost_from);
   json["lost_until"] = Micros(row.lost_until);
-  json["named"] = Micros(row.named);
+  json["named"] = Micros(row.registered_by);
   return ToText(json);
 }
 
 std::optional<ClaimRow> DecodeClaim(std::string_view value) {
   std::optional<Json::Value> json = ParseObject(value);
   if (!json) return std::nullopt;
-  bool whole = AllStrings(*json, {"owner", "body", "token", "server"}) &&
+  bool valid = AllStrings(*json, {"owner", "body", "token", "server"}) &&
                AllIntegers(*json, {"incarnation", "state", "written"}) &&
                (*json)["fenced"].isBool();
-  if (!whole) return std::nullopt;
+  if (!valid) return std::nullopt;
   int state = (*json)["state"].asInt();
   if (state < 0 || state > static_cast<int>(RowState::kDone)) {
     return std::nullopt;
@@ -76,10 +76,10 @@
 std::optional<LeaseRow> DecodeLease(std::string_view value) {
   std::optional<Json::Value> json = ParseObject(value);
   if (!json) return std::nullopt;
-  bool whole = AllStrings(*json, {"host"}) &&
+  bool valid = AllStrings(*json, {"host"}) &&
                AllIntegers(*json, {"incarnation", "since", "until", "lost_from",
                                    "lost_until", "named"});
-  if (!whole) return std::nullopt;
+  if (!valid) return std::nullopt;
   LeaseRow row;
   row.host = EntryHostId((*json)["host"].asString());
   row.incarnation = (*json)["incarnation"].asInt64();
@@ -87,7 +87,7 @@
   row.until = ToTime((*json)["until"]);
   row.lost_from = ToTime((*json)["lost_from"]);
   row.lost_until = ToTime((*json)["lost_until"]);
-  row.named = ToTime((*json)["named"]);
+  row.registered_by = ToTime((*json)["named"]);
   return row;
 }
 
--- a/src/claim/rows.h
+++ b/src/claim/rows.h
@@ -44,7 +44,8 @@
   // keys without rows up to the second.
   absl::Time lost_from = absl::UnixEpoch();
   absl::Time lost_until = absl::UnixEpoch();
-  absl::Time named = absl::UnixEpoch();  // When the name was first taken.
+  absl::Time registered_by =
+      absl::UnixEpoch();  // When the name was first taken.
   bool operator==(const LeaseRow&) const = default;
 };
 
--- a/src/claim/sweeper.cc
+++ b/src/claim/sweeper.cc
@@ -14,7 +14,8 @@
                               static_cast<std::uint64_t>(slice));
 }
 
-bool IsOld(const store::Row& row, const SweepOptions& options, absl::Time now) {
+bool IsExpired(const store::Row& row, const SweepOptions& options,
+               absl::Time now) {
   std::optional<ClaimRow> claim = DecodeClaim(row.value);
   return claim.has_value() && now - claim->written > options.retention;
 }
@@ -26,19 +27,19 @@
 }
 
 bool SweepsSlice(int slice, const EntryHostId& self,
-                 const std::vector<EntryHostId>& others) {
+                 const std::vector<EntryHostId>& peers) {
   std::uint64_t own = Rank(slice, self);
-  return std::none_of(
-      others.begin(), others.end(),
-      [&](const EntryHostId& other) { return Rank(slice, other) > own; });
+  return std::none_of(peers.begin(), peers.end(), [&](const EntryHostId& peer) {
+    return Rank(slice, peer) > own;
+  });
 }
 
-std::vector<store::Transaction> DeletesOf(const std::vector<store::Row>& rows,
-                                          const SweepOptions& options,
-                                          absl::Time now) {
+std::vector<store::Transaction> BuildDeletes(
+    const std::vector<store::Row>& rows, const SweepOptions& options,
+    absl::Time now) {
   std::vector<store::Transaction> deletes;
   for (const store::Row& row : rows) {
-    if (!IsOld(row, options, now)) continue;
+    if (!IsExpired(row, options, now)) continue;
     bool full = deletes.empty() ||
                 deletes.back().writes.size() >= options.deletes_per_commit;
     if (full) deletes.emplace_back();
--- a/src/claim/sweeper.h
+++ b/src/claim/sweeper.h
@@ -28,26 +28,26 @@
   // permit check again days later is still told that it was run.
   absl::Duration retention = absl::Hours(72);
   // One slice of this host or another's; all of them in six hours.
-  absl::Duration step = absl::Seconds(84);
+  absl::Duration slice_interval = absl::Seconds(84);
   // Below the table's 500 rows a transaction.
   std::size_t deletes_per_commit = 200;
   bool operator==(const SweepOptions&) const = default;
 };
 
-inline constexpr int kSlices = 256;
+inline constexpr int kSliceCount = 256;
 
 // The prefix of the rows of one slice.
 std::string SlicePrefix(int slice);
 
 // Whether `self` sweeps the slice, among itself and `others`.
 bool SweepsSlice(int slice, const EntryHostId& self,
-                 const std::vector<EntryHostId>& others);
+                 const std::vector<EntryHostId>& peers);
 
 // The conditional deletes of those rows that are older than the retention, cut
 // into transactions. What does not decode is left for people to look at.
-std::vector<store::Transaction> DeletesOf(const std::vector<store::Row>& rows,
-                                          const SweepOptions& options,
-                                          absl::Time now);
+std::vector<store::Transaction> BuildDeletes(
+    const std::vector<store::Row>& rows, const SweepOptions& options,
+    absl::Time now);
 
 // Owned by the control thread. The table outlives it.
 template <store::TableService Table>
@@ -56,17 +56,17 @@
   Sweeper(SweepOptions options, EntryHostId self, Table* table)
       : options_(options), self_(std::move(self)), table_(table) {}
 
-  void SetPeers(std::vector<EntryHostId> living) {
-    others_ = std::move(living);
+  void SetPeers(std::vector<EntryHostId> live_hosts) {
+    peers_ = std::move(live_hosts);
   }
 
   // Sweeps the next slice when it is due and this host's.
   void Tick(absl::Time now) {
     if (now < next_due_) return;
-    next_due_ = now + options_.step;
+    next_due_ = now + options_.slice_interval;
     int slice = next_slice_;
-    next_slice_ = (next_slice_ + 1) % kSlices;
-    if (!SweepsSlice(slice, self_, others_)) return;
+    next_slice_ = (next_slice_ + 1) % kSliceCount;
+    if (!SweepsSlice(slice, self_, peers_)) return;
     table_->Scan(SlicePrefix(slice), [this, now](store::ReadResult rows) {
       // An outage: the slice's turn comes again.
       if (rows.ok()) Delete(rows.value(), now);
@@ -78,20 +78,21 @@
 
  private:
   void Delete(const std::vector<store::Row>& rows, absl::Time now) {
-    for (store::Transaction& one : DeletesOf(rows, options_, now)) {
-      std::size_t count = one.writes.size();
-      table_->Commit(
-          std::move(one), [this, count](const store::CommitResult& result) {
-            bool done = result.state == store::CommitState::kCommitted;
-            if (done) deleted_ += count;
-          });
+    for (store::Transaction& transaction : BuildDeletes(rows, options_, now)) {
+      std::size_t count = transaction.writes.size();
+      table_->Commit(std::move(transaction),
+                     [this, count](const store::CommitResult& result) {
+                       bool committed =
+                           result.state == store::CommitState::kCommitted;
+                       if (committed) deleted_ += count;
+                     });
     }
   }
 
   const SweepOptions options_;
   const EntryHostId self_;
   Table* const table_;
-  std::vector<EntryHostId> others_;
+  std::vector<EntryHostId> peers_;
   absl::Time next_due_ = absl::InfinitePast();
   int next_slice_ = 0;
   std::uint64_t deleted_ = 0;
--- a/src/claim/sweeper_test.cc
+++ b/src/claim/sweeper_test.cc
@@ -53,7 +53,7 @@
 
 void SweepAll(Sweeper<FakeTable>* sweeper, double from_hours) {
   absl::Time now = At(from_hours);
-  for (int i = 0; i < kSlices; ++i) {
+  for (int i = 0; i < kSliceCount; ++i) {
     sweeper->Tick(now);
     now = sweeper->NextDue();
   }
@@ -61,7 +61,7 @@
 
 // Months of keyed requests pile up in the table. What is older than three
 // days goes; a permit check of this morning is still known.
-BOOST_AUTO_TEST_CASE(OldRowsGoAndFreshOnesStay) {
+BOOST_AUTO_TEST_CASE(OldRowsAreDeletedAndFreshRowsStay) {
   FakeTable table;
   for (const char* digits : {"00a", "7f1", "ffe"}) table.Put(digits, At(0));
   table.Put("00b", At(70));
@@ -74,7 +74,7 @@
 
 // A host takes an old row over at the very moment in which it is swept. Its
 // claim must stand, or the key could be run twice.
-BOOST_AUTO_TEST_CASE(ARowThatHasChangedIsNotDeleted) {
+BOOST_AUTO_TEST_CASE(ChangedRowIsNotDeleted) {
   FakeTable table;
   table.Put("00a", At(0));
   table.before_answer = [&] { table.rows.begin()->second.version = 2; };
@@ -83,17 +83,17 @@
   BOOST_TEST(table.rows.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(EachSliceIsSweptByOneOfTheLivingHosts) {
+BOOST_AUTO_TEST_CASE(EachSliceIsSweptByOneLiveHost) {
   std::vector<EntryHostId> hosts = {EntryHostId("a"), EntryHostId("b"),
                                     EntryHostId("c")};
-  for (int slice = 0; slice < kSlices; ++slice) {
+  for (int slice = 0; slice < kSliceCount; ++slice) {
     int sweepers = 0;
     for (const EntryHostId& self : hosts) {
-      std::vector<EntryHostId> others;
+      std::vector<EntryHostId> peers;
       for (const EntryHostId& host : hosts) {
-        if (host != self) others.push_back(host);
+        if (host != self) peers.push_back(host);
       }
-      if (SweepsSlice(slice, self, others)) ++sweepers;
+      if (SweepsSlice(slice, self, peers)) ++sweepers;
     }
     BOOST_REQUIRE(sweepers == 1);
   }
