--- a/src/claim/claim_dispatch.cc
+++ b/src/claim/claim_dispatch.cc
@@ -1,5 +1,5 @@
-// A claim around its dispatch: the fence of what may not be repeated, the note
-// of the server, the end.
+// Dispatch of a claim: writes the fence, allows or refuses the dispatch, and
+// records its end.
 
 #include <utility>
 
@@ -70,7 +70,7 @@
   std::optional<ClaimRow> found;
   if (row != nullptr) found = DecodeClaim(row->value);
   if (!found || found->token != claim.token) {
-    // Another host has replaced the row while this one was slow.
+    // Another host replaced the row in the meantime.
     RefuseDispatch(claim, Code::kClaimHeldElsewhere);
     Release(claim);
     claims_.erase(claim.id);
@@ -113,11 +113,11 @@
   claims_.erase(claim.id);
 }
 
-// A host dies, or is paused, while requests wait on it. Their rows would stand
-// for ever, and their callers would hear for ever that it isn't known whether
-// they ran. A fenced row is replaced by the owner itself before the first byte
-// leaves; whoever replaces it first, another host or the owner, may dispatch,
-// and the other one can't. A claim made without the table has no row to fence.
+// Returns whether the owner must replace the claim's row before it sends the
+// first byte. If a host dies or is paused while requests wait on it, another
+// host can take over a fenced row: only the host that replaces the row first
+// may dispatch. Without the fence, the keys would stay in doubt forever. A
+// claim made without the table has no row to fence.
 bool ClaimMachine::IsFenced(const Claim& claim) const {
   return !deferred_.contains(claim.token);
 }
--- a/src/claim/claim_machine.cc
+++ b/src/claim/claim_machine.cc
@@ -1,4 +1,4 @@
-// A claim's way from Open() to its verdict.
+// Processes a claim from Open() to its verdict.
 
 #include "claim/claim_machine.h"
 
@@ -10,12 +10,12 @@
 namespace gentianlb::claim {
 namespace {
 
-// When a refused caller may come back: the table's breaker tries once a second,
-// and a lease lapses within its term.
+// Retry-after times of refused callers. The table's breaker probes once a
+// second, and a lease lapses within its duration.
 constexpr absl::Duration kRetryAfter = absl::Seconds(2);
 constexpr absl::Duration kRetryAfterInDoubt = absl::Seconds(15);
 
-// The control thread's own tick, for what has no time of its own.
+// Maximum time between two timer events.
 constexpr absl::Duration kTickInterval = absl::Seconds(1);
 
 }  // namespace
@@ -56,8 +56,9 @@
   now_ = now;
 }
 
-// A message that arrives now was not sent before this: the HTTP server bounds
-// its way, except that it may have waited in a socket while we were paused.
+// Returns a lower bound of the send time of a message that arrives now. The
+// HTTP server limits the transit time, but a message may also have waited in a
+// socket while this process was paused.
 absl::Time ClaimMachine::EarliestSendTime() const {
   absl::Time usual = now_ - options_.max_transit;
   return usual < awake_since_ ? paused_from_ - options_.max_transit : usual;
@@ -84,7 +85,7 @@
 void ClaimMachine::On(const AttachFailed& event) {
   Claim* claim = Find(event.id);
   if (claim == nullptr || claim->phase != Phase::kAttached) return;
-  // Start again as a re-send: the owner may have run it or closed its row.
+  // Restart as a re-send: the owner may have run the key or deleted its row.
   Claim again;
   again.id = claim->id;
   again.request = claim->request;
@@ -120,7 +121,7 @@
   }
 }
 
-// --- Towards a durable row --------------------------------------------------
+// --- Writing the row --------------------------------------------------------
 
 void ClaimMachine::Begin(Claim& claim) {
   if (coverage_.superseded()) {
@@ -128,7 +129,7 @@
     return;
   }
   const ClaimRequest& request = claim.request;
-  // Several sendings of one key at this host share one claim.
+  // Concurrent requests for one key at this host share one claim.
   if (Claim* holder = FindHolder(request.key)) {
     if (holder->request.body_digest != request.body_digest) {
       GiveRefusal(claim, Code::kKeyReused, "");
@@ -161,7 +162,7 @@
 
 void ClaimMachine::WriteRow(Claim& claim) {
   claim.phase = Phase::kWriting;
-  // The first sending counts: any of them may be the one that took effect.
+  // Keep the time of the first write: any of the writes may have taken effect.
   if (!claim.row_may_exist) claim.row_sent = now_;
   claim.row_may_exist = true;
   Commit(Purpose::kClaimWrite, claim.id, claim.token, RowKey(claim.request.key),
@@ -183,8 +184,8 @@
       return;
     case store::CommitState::kConflict:
     case store::CommitState::kUnknown:
-      // The answer may be lost after the write took effect: our own token in
-      // the row tells, and nothing is decided before that.
+      // The write may have taken effect although its answer was lost. Decide
+      // only after a read shows whether the row has this claim's token.
       ReadRow(claim, Phase::kReading);
       return;
     case store::CommitState::kNotApplied:
@@ -216,12 +217,13 @@
   } else if (coverage_.HasLapsed(now_)) {
     RunWithoutTable(claim);
   } else {
-    // Peers still count on this host's rows until its lease lapses.
+    // Until the lease lapses, peers assume that this host writes a row for
+    // every key it runs.
     claim.phase = Phase::kQueued;
   }
 }
 
-// --- Another's row ----------------------------------------------------------
+// --- Row of another claim ---------------------------------------------------
 
 void ClaimMachine::OnForeignRow(Claim& claim, const store::Row& row,
                                 const ClaimRow& foreign) {
@@ -261,11 +263,11 @@
   }
 }
 
-// The owner is dead, cut off, or has forgotten the key.
+// Handles a row whose owner is dead, unreachable, or has forgotten the key.
 void ClaimMachine::OnOwnerUnavailable(Claim& claim, const ClaimRow& foreign) {
   if (foreign.fenced && foreign.state == RowState::kClaimed) {
-    // Whatever the owner does, it must replace this very row before its first
-    // byte leaves, and our row makes that fail.
+    // The owner must replace this row version before it sends the first byte.
+    // That write fails once our row is in place.
     TakeOver(claim);
   } else if (claim.request.idempotent) {
     GiveResume(claim, foreign.server, false);
@@ -280,22 +282,22 @@
   WriteRow(claim);
 }
 
-// --- A row of our own -------------------------------------------------------
+// --- Own row is durable -----------------------------------------------------
 
 void ClaimMachine::OnRowDurable(Claim& claim, store::RowVersion version) {
   claim.version = version;
   CheckUnrecordedRuns(claim);
 }
 
-// The row is ours. A host that had lost the table may have run the key without
-// a row; a marked first sending rules that out, and so do current leases.
+// Checks whether a host that lost the table ran the key without a row. A
+// request marked as the first attempt rules that out, and so do current leases.
 void ClaimMachine::CheckUnrecordedRuns(Claim& claim) {
   const ClaimRequest& request = claim.request;
   bool unmarked_but_certain =
       request.attempt == 0 && coverage_.HasFullMemory(claim.first_sent);
   bool first_attempt = request.attempt == 1 || unmarked_but_certain;
   bool may_have_run = claim.attach_failed || !first_attempt;
-  // A call that may not be repeated is never run without a row, by anyone.
+  // No host runs a non-idempotent request without a row.
   if (!request.idempotent) {
     GiveProceed(claim);
     return;
@@ -311,18 +313,17 @@
   }
   std::set<EntryHostId> peers(suspects.to_query.begin(),
                               suspects.to_query.end());
-  // Whoever asked us about the key may be running it.
+  // A peer that queried this host about the key may be running it.
   for (const Promise& promise : claim.promises) peers.insert(promise.requester);
-  // Whoever doesn't know us could run a re-send of what we run, and may have
-  // done so and be gone.
+  // A host that does not know this one may run a re-send of the key without
+  // querying this host, or may have done so and lost its memory.
   if (coverage_.AnyLostRunUnaware(claim.first_sent)) suspects.lost_run = true;
   for (const EntryHostId& host : coverage_.UnawareHosts()) {
     if (!aware_peers_.contains(host)) peers.insert(host);
   }
-  // The owner of the row that ours replaced had claimed the key by that row, so
-  // it must replace it before it dispatches, and can't any more. Asking it
-  // would keep a key that waited on a dead host in doubt until the host is
-  // replaced.
+  // The owner of the replaced row must update that row before it dispatches,
+  // and can no longer do so. Querying it would keep the key in doubt until a
+  // dead owner is replaced.
   if (claim.replaced_version != 0 && claim.found_row.has_value()) {
     std::optional<ClaimRow> replaced = DecodeClaim(claim.found_row->value);
     if (replaced.has_value()) peers.erase(replaced->owner);
@@ -359,14 +360,16 @@
   if (claim.queries.empty()) OnAllPeersAnswered(claim);
 }
 
-// Whether the answer proves that `peer` hasn't run the key, and won't.
+// Returns whether the answer proves that `peer` has not run the key and will
+// not run it.
 bool ClaimMachine::ProvesNotRun(const Claim& claim, const EntryHostId& peer,
                                 const std::optional<PeerAnswer>& answer) const {
   if (!answer || answer->state != PeerState::kNotHeld) return false;
   // A restarted peer has forgotten what its earlier incarnation ran.
   if (coverage_.SpansKey(answer->memory_start, claim.first_sent)) return true;
   if (claim.phase != Phase::kQueryingPeers) return false;
-  // The very incarnation that the lease, or our promise, is about.
+  // The answer must come from the incarnation that the lease or the promise
+  // names.
   bool matches = true;
   bool promised = false;
   for (const Promise& promise : claim.promises) {
@@ -393,8 +396,8 @@
 void ClaimMachine::RunWithoutTable(Claim& claim) {
   bool first = claim.request.attempt == 1 && claim.promises.empty() &&
                !claim.attach_failed;
-  // The key was first sent after our lease had lapsed, so whoever gets a
-  // re-send sees the lapse and asks us.
+  // If the key was first sent after this host's lease lapsed, a host that gets
+  // a re-send sees the lapsed lease and queries this host.
   bool after_lapse =
       coverage_.SpansKey(coverage_.LapseTime(), claim.first_sent);
   if (first && after_lapse) {
@@ -406,7 +409,7 @@
 
 void ClaimMachine::QueryAllPeers(Claim& claim) {
   claim.phase = Phase::kQueryingAllPeers;
-  // What this host, or one that is gone, ran and forgot can't be asked.
+  // No query can find a run that this host or an unavailable one has forgotten.
   claim.in_doubt = !coverage_.SpansKey(started_, claim.first_sent) ||
                    coverage_.AnyLostRun(claim.first_sent);
   if (!claim.in_doubt) {
@@ -423,7 +426,7 @@
   claim.without_table = claim.version == 0;
   if (claim.without_table) {
     ++counters_.proceeded_without_table;
-    // Known as late first: the row must say that no fence will be written.
+    // Add the entry before RowOf(), so that the row is marked as not fenced.
     DeferredRow& deferred = deferred_[claim.token];
     deferred = {claim.request.key, RowOf(claim, RowState::kClaimed)};
   }
@@ -456,7 +459,8 @@
   claims_.erase(claim.id);
 }
 
-// Nothing will be dispatched under this claim's token from here on.
+// Releases the key and starts the deletion of the claim's row. Nothing is
+// dispatched under the claim's token afterwards.
 void ClaimMachine::Release(Claim& claim) {
   auto holder = holders_.find(claim.request.key);
   if (holder != holders_.end() && holder->second == claim.id) {
@@ -468,8 +472,8 @@
   claim.row_may_exist = false;
 }
 
-// The truth about a request that the table's absence stops: a re-send may have
-// run under an earlier claim.
+// Returns the result code of a request that fails because the table is down.
+// It is kClaimInDoubt if the key may have run under an earlier claim.
 Code ClaimMachine::TableDownCode(const Claim& claim) const {
   bool earlier =
       claim.request.attempt > 1 || !claim.promises.empty() ||
@@ -478,7 +482,7 @@
   return earlier ? Code::kClaimInDoubt : Code::kClaimStoreDown;
 }
 
-// --- Questions of peers -----------------------------------------------------
+// --- Queries from peers -----------------------------------------------------
 
 PeerAnswer ClaimMachine::HandleQuery(const PeerQuery& query, absl::Time now,
                                      std::vector<Action>* actions) {
@@ -511,9 +515,9 @@
   }
 }
 
-// Two hosts that ask each other about the same key must not both go on, nor
-// both yield to the other for ever: a row goes before none, and then the
-// lower name goes first.
+// Returns whether `holder` yields the key to the requester of `query`. Of two
+// hosts that query each other about the same key, exactly one must proceed: the
+// one with a durable row, or else the one with the lower name.
 bool ClaimMachine::YieldsTo(const Claim& holder, const PeerQuery& query) const {
   bool decided =
       holder.phase == Phase::kReady || holder.phase == Phase::kFencing ||
@@ -523,7 +527,7 @@
   return query.durable || query.requester < options_.self;
 }
 
-// --- Small helpers ----------------------------------------------------------
+// --- Helpers ----------------------------------------------------------------
 
 ClaimMachine::Claim* ClaimMachine::Find(ClaimId id) {
   auto found = claims_.find(id);
--- a/src/claim/claim_machine.h
+++ b/src/claim/claim_machine.h
@@ -1,7 +1,7 @@
-// The decisions on claims of one entry host, without network, thread or clock:
-// events go in with the time, actions come out. A copyable value, so that the
-// explorer can branch it at every step. docs/design/at-most-once.md has the
-// states and every transition.
+// State machine that decides on the claims of one entry host. It uses no
+// network, thread or clock: it takes events with their time and returns
+// actions. It is copyable so that the explorer test can branch at every step.
+// docs/design/at-most-once.md lists the states and transitions.
 
 #ifndef GENTIANLB_CLAIM_CLAIM_MACHINE_H_
 #define GENTIANLB_CLAIM_CLAIM_MACHINE_H_
@@ -26,13 +26,14 @@
   EntryHostId self;
   Incarnation incarnation = 0;
   CoverageOptions coverage;
-  // How long a sending may be on its way: the HTTP server refuses a message
-  // that isn't whole within 30 s.
+  // Maximum transit time of a request: the HTTP server refuses a message that
+  // is incomplete after 30 s.
   absl::Duration max_transit = absl::Seconds(30);
-  // The control thread wakes every second; a longer gap means that the process
-  // was paused, and messages may have waited in its sockets meanwhile.
+  // A longer gap between two events means that the process was paused and that
+  // messages may have waited in its sockets. The control thread wakes every
+  // second.
   absl::Duration pause_gap = absl::Seconds(5);
-  // While the table is out: how soon its return is noticed.
+  // Interval of the scans that detect the table's recovery.
   absl::Duration probe_interval = absl::Milliseconds(500);
 };
 
@@ -53,18 +54,18 @@
  public:
   ClaimMachine(ClaimOptions options, absl::Time now);
 
-  // Appends the actions that `event` leads to, in order.
+  // Processes `event` and appends the resulting actions in order.
   void Handle(const Event& event, absl::Time now, std::vector<Action>* actions);
 
-  // A peer asks about a key.
+  // Answers a peer's query about a key.
   PeerAnswer HandleQuery(const PeerQuery& query, absl::Time now,
                          std::vector<Action>* actions);
 
-  // Entry hosts known to membership. They are added: a host that has left may
-  // still be running what it ran, and isn't forgotten before a restart.
+  // Adds the entry hosts that membership knows. Hosts that left are kept until
+  // a restart, since they may still run requests.
   void SetPeers(std::vector<EntryHostId> peers);
 
-  // When TimePassed is due at the latest.
+  // Returns the latest time of the next TimerFired event.
   absl::Time NextWakeup() const;
 
   const ClaimCounters& counters() const { return counters_; }
@@ -72,21 +73,22 @@
   const Coverage& coverage() const { return coverage_; }
   std::size_t open_claims() const { return claims_.size(); }
 
-  // All that decides the future, as text: for dumps and for the explorer.
+  // Returns all state that affects later decisions as text, for dumps and for
+  // the explorer test.
   std::string Describe() const;
 
  private:
   enum class Phase {
-    kQueued,         // Waits for the table to come back, or the lease to lapse.
-    kWriting,        // Its row is on the way.
-    kReading,        // Reads the row: after a conflict or a lost answer.
-    kQueryingOwner,  // Another's row was found.
-    kAwaitingScan,   // Row durable; the picture of the leases is too old.
-    kQueryingPeers,  // Row durable; someone may have run it without a row.
-    kQueryingAllPeers,  // Without the table.
+    kQueued,            // Waits until the table recovers or the lease lapses.
+    kWriting,           // The row's write is in flight.
+    kReading,           // Reads the row after a conflict or a lost answer.
+    kQueryingOwner,     // Found another claim's row; queries its owner.
+    kAwaitingScan,      // Row durable; the last lease scan is too old.
+    kQueryingPeers,     // Row durable; a peer may have run it without a row.
+    kQueryingAllPeers,  // The table is down.
     kReady,             // Proceed was given.
-    kFencing,           // Names the server in the row before the dispatch.
-    kFenceReading,      // The answer to that was lost, or it met a change.
+    kFencing,           // Writes the server to the row before the dispatch.
+    kFenceReading,      // Reads the row after a conflict or a lost answer.
     kRunning,           // Dispatched.
     kAttached,          // Attach was given.
   };
@@ -97,27 +99,28 @@
     std::string token;
     Phase phase = Phase::kQueued;
     absl::Time row_sent;
-    store::RowVersion replaced_version = 0;  // What the next write replaces.
-    store::RowVersion version = 0;           // Of the own row; 0: not durable.
-    bool row_may_exist = false;              // The row may be in the table.
-    bool without_table = false;  // Was allowed to run without a row.
+    // The next write replaces this version of the row; 0 if there is none.
+    store::RowVersion replaced_version = 0;
+    store::RowVersion version = 0;  // Of the own row; 0 if not durable.
+    bool row_may_exist = false;     // The own row may be in the table.
+    bool without_table = false;     // Proceeds without a row.
     bool attach_failed = false;
-    bool in_doubt = false;  // An asked peer can't rule the key out.
+    bool in_doubt = false;  // A queried peer may have run the key.
     ServerId server;
-    std::optional<store::Row> found_row;  // Another's row, while asking.
-    std::map<CallId, EntryHostId> queries;
-    std::vector<Promise> promises;  // Given to peers before it was opened.
-    absl::Time first_sent;          // The key was never sent before this.
+    std::optional<store::Row> found_row;    // Another claim's row, if any.
+    std::map<CallId, EntryHostId> queries;  // Without an answer so far.
+    std::vector<Promise> promises;          // Made to peers before the claim.
+    absl::Time first_sent;  // Lower bound of the first send time.
   };
 
-  // A row to delete: nothing will be dispatched under its token.
+  // A row to delete. Nothing is dispatched under its token any more.
   struct PendingDelete {
     ClaimKey key;
     std::string token;
-    bool in_flight = false;  // A call is on its way.
+    bool in_flight = false;  // A table call has no answer yet.
   };
 
-  // A key that runs without a row; its row must follow.
+  // Row of a key that runs without one, to be written when the table recovers.
   struct DeferredRow {
     ClaimKey key;
     ClaimRow row;
@@ -138,11 +141,11 @@
     kQuery,
   };
 
-  // What an answer belongs to.
+  // Context of a table or peer call, used when its answer arrives.
   struct Call {
     Purpose purpose = Purpose::kScan;
     ClaimId claim = 0;
-    std::string token;  // Of a closing or late row.
+    std::string token;  // Of the claim, or of the row to write or delete.
     absl::Time sent;
   };
 
@@ -159,7 +162,7 @@
   void On(const PeerAnswered& event);
   void On(const TimerFired& event);
 
-  // The claim's way, claim_machine.cc.
+  // From Open() to the verdict: claim_machine.cc.
   void Begin(Claim& claim);
   void WriteRow(Claim& claim);
   void ReadRow(Claim& claim, Phase phase);
@@ -193,7 +196,7 @@
   void AnswerQuery(const PeerQuery& query, PeerAnswer* answer);
   bool YieldsTo(const Claim& holder, const PeerQuery& query) const;
 
-  // Around the dispatch, claim_dispatch.cc.
+  // Dispatch: claim_dispatch.cc.
   bool IsFenced(const Claim& claim) const;
   void WriteFence(Claim& claim);
   void OnFenceWritten(Claim& claim, const store::CommitResult& result);
@@ -204,7 +207,7 @@
   void Finish(Claim& claim);
   ClaimRow RowOf(const Claim& claim, RowState state) const;
 
-  // What follows the claims, claim_upkeep.cc.
+  // Table answers, row deletes, deferred rows, lease: claim_upkeep.cc.
   void StartDelete(Claim& claim);
   void ContinueDelete(PendingDelete& pending);
   void OnDeleteRead(const std::string& token, const store::Row* row,
@@ -239,12 +242,13 @@
   KeyMemory memory_;
   absl::Time started_;
   absl::Time now_;
-  Actions* actions_ = nullptr;  // Only during a call.
+  Actions* actions_ = nullptr;  // Set only during a call.
   bool table_up_ = true;
   bool scanning_ = false;
   bool renewing_ = false;
   absl::Time next_scan_;
-  // The last pause of the process, or several in short succession.
+  // Start and end of the last pause of the process. Pauses in short succession
+  // count as one.
   absl::Time paused_from_;
   absl::Time awake_since_;
   CallId next_call_ = 1;
@@ -255,7 +259,8 @@
   std::map<std::string, DeferredRow> deferred_;           // By token.
   std::map<CallId, Call> calls_;
   std::set<EntryHostId> peers_;
-  std::set<EntryHostId> aware_peers_;  // Peers that certainly know this host.
+  std::set<EntryHostId>
+      aware_peers_;  // Peers that answered a query, so know this host.
   ClaimCounters counters_;
 };
 
--- a/src/claim/claim_upkeep.cc
+++ b/src/claim/claim_upkeep.cc
@@ -1,5 +1,5 @@
-// What goes on beside the claims: answers of the table, rows to close, rows
-// that come late, the lease.
+// Maintenance of the claim state: routes table answers, deletes released rows,
+// writes deferred rows, and renews the lease.
 
 #include <algorithm>
 #include <utility>
@@ -25,7 +25,7 @@
   OnTableAnswer(state == store::CommitState::kCommitted ||
                 state == store::CommitState::kConflict);
   Claim* claim = Find(call.claim);
-  // An answer to an earlier turn of the same request says nothing of this one.
+  // Ignore an answer that belongs to an earlier claim of the same request.
   if (claim != nullptr && claim->token != call.token) claim = nullptr;
   switch (call.purpose) {
     case Purpose::kClaimWrite:
@@ -84,7 +84,7 @@
   } else if (answered) {
     OnRowRead(*claim, FirstRow(event));
   } else if (claim->phase == Phase::kFenceReading) {
-    // Whether the fence stands isn't known, but nothing was sent under it.
+    // The fence may be in the row, but nothing was sent under it.
     claim->phase = Phase::kReady;
     RefuseDispatch(*claim, Code::kClaimStoreDown);
   } else if (claim->phase == Phase::kReading) {
@@ -106,8 +106,8 @@
   if (recovered) ResumeQueued();
 }
 
-// Claims that wait go on: by the table when it is back, without it when the
-// lease has lapsed.
+// Resumes waiting claims: with the table when it has recovered, or without it
+// when the lease has lapsed.
 void ClaimMachine::ResumeQueued() {
   std::vector<ClaimId> waiting;
   for (const auto& [id, claim] : claims_) {
@@ -133,10 +133,11 @@
   }
 }
 
-// --- Rows to close ----------------------------------------------------------
+// --- Row deletes ------------------------------------------------------------
 
-// A row that nobody will use would hold its key until its owner dies, and a
-// caller's next sending would be attached to nothing.
+// Starts the deletion of a released claim's row. A row that stays would block
+// its key until the owner dies: a re-send would be attached to a request that
+// does not run.
 void ClaimMachine::StartDelete(Claim& claim) {
   memory_.AddAbandoned(claim.token, now_);
   PendingDelete& pending = pending_deletes_[claim.token];
@@ -177,7 +178,7 @@
   if (state == store::CommitState::kCommitted) pending_deletes_.erase(found);
 }
 
-// --- Rows that come late ----------------------------------------------------
+// --- Deferred rows ----------------------------------------------------------
 
 void ClaimMachine::WriteDeferredRow(DeferredRow& deferred) {
   if (deferred.in_flight) return;
@@ -217,8 +218,8 @@
     OnDeferredRowDurable(token, row->version);
     return;
   }
-  // Its owner hasn't dispatched the key: it must hear from us first, and we
-  // answer that we hold it.
+  // Replace the other claim's row. Its owner has not dispatched the key: it
+  // must query this host first, and this host answers that it holds the key.
   deferred.in_flight = true;
   Commit(Purpose::kDeferredWrite, 0, token, RowKey(deferred.key), row->version,
          Encode(deferred.row));
@@ -233,7 +234,7 @@
       claim->row_may_exist = true;
     }
   }
-  // The lease may be renewed again, after a fresh look.
+  // A new scan allows the next lease renewal.
   if (deferred_.empty()) StartScan();
 }
 
@@ -248,7 +249,8 @@
 
 void ClaimMachine::OnScanned(const Call& call,
                              const std::vector<store::Row>& rows) {
-  // The last sending of a key may still wait at a peer when its window is over.
+  // Keep entries for two windows: the last re-send of a key may still wait at a
+  // peer when the key's window has passed.
   memory_.ForgetBefore(now_ - 2 * options_.coverage.key_window);
   coverage_.OnScan(rows, call.sent, now_);
   for (auto& [token, deferred] : deferred_) WriteDeferredRow(deferred);
@@ -267,8 +269,9 @@
   }
 }
 
-// Whoever sees this host's lease current takes it for certain that all it ran
-// has a row. A renewal before that would let a re-send run a second time.
+// Renews the lease if every key that this host ran has a row. Peers that see a
+// current lease rely on that: an earlier renewal would let a re-send run a
+// second time.
 void ClaimMachine::RenewLeaseIfSafe() {
   bool busy = std::any_of(claims_.begin(), claims_.end(), [](auto& entry) {
     return entry.second.phase == Phase::kQueryingAllPeers;
--- a/src/claim/describe.cc
+++ b/src/claim/describe.cc
@@ -1,4 +1,4 @@
-// The state of the claim machine as text.
+// Formats the state of the claim machine as text.
 
 #include <sstream>
 
