--- a/src/claim/coverage.cc
+++ b/src/claim/coverage.cc
@@ -42,14 +42,14 @@
   version_ = version;
   registered_by_ = row.registered_by;
   if (row.incarnation == incarnation_) {
-    Register(now);  // Also when the answer to Renew() was lost.
+    Register(now);  // The answer to Renew() may have been lost.
     return;
   }
   // A paused incarnation that wakes after its successor has registered must
-  // not act under the name any more: peers ask the successor.
+  // stop using the host name: peers query the successor.
   superseded_ = registered_ || row.incarnation > incarnation_;
-  // The earlier incarnation ended before this one started. If its lease had
-  // lapsed by then, it may have run keys whose rows died with it.
+  // The earlier incarnation stopped before this one started. If its lease had
+  // lapsed by then, it may have run keys without writing their rows.
   bool lapsed = row.until < started_;
   bool lost_before = row.lost_until > absl::UnixEpoch();
   lost_from_ = lost_before ? row.lost_from : row.until;
@@ -57,7 +57,7 @@
 }
 
 void Coverage::Register(absl::Time now) {
-  // A name that was taken later than its row says is taken once more.
+  // The row was committed after its `registered_by` time: write it again.
   if (registering_ && now > registered_by_) return;
   registering_ = false;
   registered_ = true;
@@ -66,9 +66,9 @@
 store::Transaction Coverage::Renew(absl::Time now) {
   bool continuous = registered_ && now < until_;
   if (!continuous) since_ = now;
-  // An answer may be lost after the write took effect: from here on this host
-  // counts as covered until the new time, whatever comes back.
-  // Counted from the scan: the lease tells how old this host's picture is.
+  // The write may take effect although its answer is lost, so this host is
+  // treated as covered until the new time whatever the result. The lease starts
+  // at the scan, so that it bounds the age of this host's view of the leases.
   until_ = std::max(until_, scan_sent_ + options_.lease);
   LeaseRow row;
   row.host = self_;
@@ -77,8 +77,8 @@
   row.until = until_;
   row.lost_from = lost_from_;
   row.lost_until = lost_until_;
-  // Whoever scans later than `named` sees the row; Register() makes sure that
-  // it was there by then.
+  // Scans after `registered_by` see the row; Register() ensures that it was
+  // committed by then.
   registering_ = registering_ || version_ == 0;
   if (registering_) registered_by_ = now + options_.lease;
   row.registered_by = registered_by_;
@@ -93,21 +93,21 @@
 }
 
 bool Coverage::HasLapsed(absl::Time now) const {
-  // Peers find this host's lease only once it is registered; before, nobody
-  // would know to ask it.
+  // Peers see this host's lease only after it is registered. Before that, they
+  // would not query this host.
   return registered_ && !superseded_ && now > LapseTime();
 }
 
 bool Coverage::IsScanFresh(absl::Time now) const {
-  // A host that registered after the scan is covered for a whole lease.
+  // A host that registered after the scan is covered for a full lease.
   return now + options_.clock_skew < scan_sent_ + options_.lease;
 }
 
 bool Coverage::IsCovered(const LeaseRow& lease, absl::Time row_sent,
                          absl::Time now) const {
   bool current = now + options_.clock_skew < lease.until;
-  // Its late rows were in the table before ours was sent, so ours would have
-  // met a row of the same key as a conflict.
+  // The host's deferred rows were in the table before our row was sent, so our
+  // write would have failed with a conflict.
   bool flushed = lease.since + options_.clock_skew < row_sent;
   return current && flushed;
 }
