--- a/src/claim/key_memory.cc
+++ b/src/claim/key_memory.cc
@@ -32,7 +32,8 @@
 }
 
 void KeyMemory::AddAbandoned(const std::string& token, absl::Time now) {
-  // Forgetting one only leaves its key in doubt, which is safe.
+  // At the limit the token is not recorded: its key stays in doubt, which is
+  // safe.
   if (abandoned_.size() < kMaxEntries) abandoned_[token] = now;
 }
 
--- a/src/claim/key_memory.h
+++ b/src/claim/key_memory.h
@@ -1,5 +1,5 @@
-// What one entry host remembers of keys that it doesn't hold (any more), to
-// answer its peers truly. Everything is kept for the key window at least.
+// Records of keys that one entry host does not hold or no longer holds, used to
+// answer its peers' queries. Each record is kept for at least the key window.
 
 #ifndef GENTIANLB_CLAIM_KEY_MEMORY_H_
 #define GENTIANLB_CLAIM_KEY_MEMORY_H_
@@ -16,16 +16,16 @@
 
 namespace gentianlb::claim {
 
-// This host told `asker` that it hasn't got the key, and won't run it without a
-// row in the table.
+// A promise to `requester`: this host does not hold the key and will not run it
+// without a row in the table.
 struct Promise {
   EntryHostId requester;
-  Incarnation incarnation = 0;  // Of the asker.
+  Incarnation incarnation = 0;  // Of the requester.
   absl::Time made;
   bool operator==(const Promise&) const = default;
 };
 
-// A key that ran here.
+// A key that ran at this host.
 struct FinishedKey {
   ServerId server;
   std::string body_digest;
@@ -35,23 +35,24 @@
 
 class KeyMemory {
  public:
-  // At 30 keyed requests a second and ten minutes, 18,000 entries of each kind
-  // are used; the bound keeps a flood within some tens of megabytes.
+  // Per kind of record. 30 keyed requests a second over ten minutes use 18,000
+  // entries; the limit bounds a flood to some tens of megabytes.
   static constexpr std::size_t kMaxEntries = 100'000;
 
-  // False when there is no room: then nothing is promised.
+  // Records a promise. Returns false, and records none, at kMaxEntries keys.
   bool AddPromise(const ClaimKey& key, Promise promise);
-  // To everyone who asked: only one of them may run the key, but not
-  // necessarily the last.
+  // Returns the promises to all requesters. Only one of them may run the key,
+  // not necessarily the last.
   std::vector<Promise> FindPromises(const ClaimKey& key) const;
 
   void AddFinished(const ClaimKey& key, FinishedKey finished);
   std::optional<FinishedKey> FindFinished(const ClaimKey& key) const;
 
-  // A claim's token under which nothing will ever be dispatched.
+  // Records a claim token under which nothing will be dispatched.
   void AddAbandoned(const std::string& token, absl::Time now);
   bool IsAbandoned(const std::string& token) const;
 
+  // Removes the records made before `time`.
   void ForgetBefore(absl::Time time);
 
   std::string Describe() const;
--- a/src/claim/keys.cc
+++ b/src/claim/keys.cc
@@ -1,4 +1,4 @@
-// Digests and times of idempotency keys.
+// Computes digests of idempotency keys and bodies, and reads the time of keys.
 
 #include <xxhash.h>
 
@@ -10,7 +10,7 @@
 namespace gentianlb::claim {
 namespace {
 
-// Of a UUID in its text form, RFC 9562.
+// Layout of a UUID's text form, RFC 9562.
 constexpr std::size_t kUuidLength = 36;
 constexpr std::size_t kUuidVersionOffset = 14;
 constexpr std::size_t kUuidTimeDigits = 12;
@@ -20,7 +20,8 @@
   return absl::StrFormat("%016x%016x", hash.high64, hash.low64);
 }
 
-// A length before each part: ("ab", "c") and ("a", "bc") must differ.
+// Joins two strings. The length prefix makes ("ab", "c") and ("a", "bc")
+// differ.
 std::string Join(std::string_view first, std::string_view second) {
   return absl::StrFormat("%d:%s%s", first.size(), first, second);
 }
--- a/src/claim/messages.h
+++ b/src/claim/messages.h
@@ -1,6 +1,6 @@
-// What the claim machine is told and what it answers. A claim is the right to
+// Events, actions and messages of the claim machine. A claim is the right to
 // dispatch one key of one workspace; at most one backend server ever receives
-// the key. docs/design/at-most-once.md gives the rules and why they hold.
+// the key. docs/design/at-most-once.md gives the rules and their proof.
 
 #ifndef GENTIANLB_CLAIM_MESSAGES_H_
 #define GENTIANLB_CLAIM_MESSAGES_H_
@@ -20,52 +20,52 @@
 
 namespace gentianlb::claim {
 
-// Digest of (workspace, idempotency key). It names the claim's row, and the
-// stream at a model engine (X-Request-Id), so that any entry host can find
-// either later.
+// Digest of (workspace, idempotency key). It names the claim's row and the
+// stream at a model engine (X-Request-Id), so that any entry host can find them
+// later.
 using ClaimKey = Id<struct ClaimKeyTag>;
 
-// 32 hexadecimal digits.
+// Returns 32 hexadecimal digits.
 ClaimKey DigestKey(const WorkspaceId& workspace, const IdempotencyKey& key);
 
-// Tells whether a key comes back with another body.
+// Returns a digest that shows whether a key is re-sent with another body.
 std::string DigestBody(std::string_view method_and_path, std::string_view body);
 
-// The time inside a UUIDv7, or nothing when `key` isn't one.
+// Returns the time in a UUIDv7, or nothing when `key` is not a UUIDv7.
 std::optional<absl::Time> TimeOfKey(const IdempotencyKey& key);
 
-// Names one Open() of this process.
+// Identifies one Open() call of this process.
 using ClaimId = std::uint64_t;
 
-// A keyed request that wants to be dispatched. Requests without a key need no
-// claim: one entry host alone knows them.
+// A keyed request to be dispatched. Requests without a key need no claim, since
+// only one entry host receives them.
 struct ClaimRequest {
   ClaimKey key;
   std::string body_digest;
-  bool idempotent = true;  // False: may not be repeated; needs a durable row.
-  int attempt = 0;         // Gentian-Attempt: 1 first, more a re-send; 0: none.
-  // Time inside the key, if the workspace's keys carry an honest one.
+  bool idempotent = true;  // False: must not run twice; needs a durable row.
+  int attempt = 0;  // Gentian-Attempt: 1 first, >1 a re-send, 0 no header.
+  // Time in the key, if the workspace's keys carry a reliable time.
   std::optional<absl::Time> key_time;
   bool operator==(const ClaimRequest&) const = default;
 };
 
 // --- Verdicts ---------------------------------------------------------------
 
-// The claim is held here; it may be dispatched after RequestDispatch().
+// This host holds the claim and may dispatch it after RequestDispatch().
 struct Proceed {
   bool operator==(const Proceed&) const = default;
 };
 
-// `owner` (possibly this host) has it: attach to its answer there.
+// `owner`, possibly this host, holds the claim: read its answer from there.
 struct Attach {
   EntryHostId owner;
   bool operator==(const Attach&) const = default;
 };
 
-// It was dispatched, and its owner is gone or has forgotten the stream. Look
-// for the stream called `key` at `server`, or at each server of the service
-// when `server` is empty; when there is none: kAnswerGone if `finished`, else
-// kClaimInDoubt. Never dispatch.
+// The key was dispatched, and its owner is unavailable or has forgotten the
+// stream. The caller looks for the stream named `key` at `server`, or at each
+// server of the service if `server` is empty. Without a stream the result is
+// kAnswerGone if `finished`, else kClaimInDoubt. The key is never dispatched.
 struct Resume {
   ClaimKey key;
   ServerId server;
@@ -73,7 +73,7 @@
   bool operator==(const Resume&) const = default;
 };
 
-// Final. `run` follows from the code.
+// Final refusal. Describe(error.code) tells whether the request ran.
 struct Refuse {
   Error error;
   absl::Duration retry_after;
@@ -82,39 +82,39 @@
 
 using ClaimVerdict = std::variant<Proceed, Attach, Resume, Refuse>;
 
-// --- Between entry hosts ----------------------------------------------------
+// --- Messages between entry hosts -------------------------------------------
 
-// "Have you got this key?" The one who answers that it hasn't also promises
-// not to dispatch the key without a row in the table.
+// Asks a peer whether it holds or ran a key. A peer that answers kNotHeld also
+// promises not to dispatch the key without a row in the table.
 struct PeerQuery {
   ClaimKey key;
   EntryHostId requester;
-  Incarnation incarnation = 0;  // Of the asker.
-  std::string token;     // Of the row found, if any: the claim asked for.
-  bool durable = false;  // The asker has its own row in the table.
+  Incarnation incarnation = 0;  // Of the requester.
+  std::string token;            // Token of the row found, if any.
+  bool durable = false;         // The requester's own row is in the table.
   bool operator==(const PeerQuery&) const = default;
 };
 
 enum class PeerState {
-  kNotHeld,    // Not known here, and promised.
-  kHeld,       // Waiting or running here: attach.
-  kFinished,   // Ran here; `server` has the stream if anyone has.
-  kAbandoned,  // Was held here, and never will be dispatched under its token.
-  kNoPromise,  // Not known, but can't be promised: as good as no answer.
+  kNotHeld,    // Not known at the peer, which gives the promise.
+  kHeld,       // Waiting or running at the peer: attach.
+  kFinished,   // Ran at the peer; its stream, if kept, is at `server`.
+  kAbandoned,  // Held before; nothing will be dispatched under its token.
+  kNoPromise,  // Not known, and no promise is given: equals no answer.
 };
 
 struct PeerAnswer {
   PeerState state = PeerState::kNoPromise;
   Incarnation incarnation = 0;
-  // Earlier keys may have been forgotten by this host.
+  // The peer may have forgotten keys that were sent before this time.
   absl::Time memory_start = absl::InfiniteFuture();
   ServerId server;
   bool operator==(const PeerAnswer&) const = default;
 };
 
-// --- Events and actions of the machine --------------------------------------
+// --- Events and actions of the claim machine --------------------------------
 
-// Names a table or peer call until its answer.
+// Identifies a table or peer call until its answer arrives.
 using CallId = std::uint64_t;
 
 struct ClaimOpened {
@@ -122,25 +122,26 @@
   ClaimRequest request;
 };
 
-// A server was granted; DispatchAllowed says whether the first byte may leave.
+// A server was granted. DispatchAnswered says whether the first byte may be
+// sent.
 struct DispatchRequested {
   ClaimId id = 0;
   ServerId server;
 };
 
-// The request ended after its dispatch. `sent` is false only when it is certain
-// that no byte left, so that another server may be wanted.
+// The request finished after its dispatch. `sent` is false only when it is
+// certain that no byte was sent; another server may then be requested.
 struct DispatchFinished {
   ClaimId id = 0;
   bool sent = true;
 };
 
-// The caller left or the request was refused before its dispatch.
+// The caller disconnected, or the request was refused before its dispatch.
 struct ClaimAbandoned {
   ClaimId id = 0;
 };
 
-// An Attach didn't work: the owner can't be reached or no longer has it.
+// An Attach failed: the owner is unreachable or no longer has the answer.
 struct AttachFailed {
   ClaimId id = 0;
 };
@@ -150,13 +151,13 @@
   store::CommitResult result;
 };
 
-// Nothing: the table gave no answer.
+// `rows` is empty if the table gave no answer.
 struct ReadAnswered {
   CallId call = 0;
   std::optional<std::vector<store::Row>> rows;
 };
 
-// Nothing: the peer can't be reached.
+// `answer` is empty if the peer is unreachable.
 struct PeerAnswered {
   CallId call = 0;
   std::optional<PeerAnswer> answer;
@@ -199,7 +200,7 @@
   bool operator==(const VerdictGiven&) const = default;
 };
 
-// `refusal` is empty when the first byte may leave now.
+// `refusal` is empty when the first byte may be sent now.
 struct DispatchAnswered {
   ClaimId id = 0;
   std::optional<Refuse> refusal;
