--- a/src/claim/claim_table.h
+++ b/src/claim/claim_table.h
@@ -1,5 +1,5 @@
-// The claims of one entry host: the pure ClaimMachine, wired to a table service
-// and to the peers. Owned by the control thread; nothing here blocks.
+// Manages the claims of one entry host: connects its ClaimMachine to a table
+// service and to the peers. Owned by the control thread; no call blocks.
 
 #ifndef GENTIANLB_CLAIM_CLAIM_TABLE_H_
 #define GENTIANLB_CLAIM_CLAIM_TABLE_H_
@@ -15,8 +15,8 @@
 
 namespace gentianlb::claim {
 
-// Asks another entry host; answers once, later, on the control thread, with
-// nothing when the peer gave no answer in time.
+// Queries another entry host. Calls `done` once, later, on the control thread,
+// with nothing if the peer gave no answer in time.
 template <typename P>
 concept PeerService =
     requires(P peers, EntryHostId peer, PeerQuery query,
@@ -24,8 +24,8 @@
   peers.Query(peer, query, done);
 };
 
-// Decides right before a dispatch, so it needs the time of that moment and not
-// of the event that led to it.
+// Returns the current time. A decision right before a dispatch must use that
+// time, not the time of the event that led to it.
 template <typename C>
 concept Clock = requires(C clock) {
   { clock() } -> std::convertible_to<absl::Time>;
@@ -34,7 +34,7 @@
 template <store::TableService Table, PeerService Peers, Clock Now>
 class ClaimTable {
  public:
-  // Gets the id too: a verdict may come before Open() has returned it.
+  // Receives the claim's id, since a verdict may come before Open() returns it.
   using OnVerdict = std::function<void(ClaimId, ClaimVerdict)>;
   using OnDispatch = std::function<void(std::optional<Refuse>)>;
 
@@ -45,7 +45,7 @@
         peers_(peers),
         now_(std::move(now)) {}
 
-  // Called back once, possibly before Open() returns.
+  // Opens a claim. Calls `on_verdict` once, possibly before Open() returns.
   ClaimId Open(ClaimRequest request, OnVerdict on_verdict) {
     ClaimId id = next_id_++;
     verdicts_[id] = std::move(on_verdict);
@@ -53,31 +53,33 @@
     return id;
   }
 
-  // Must be called after a Proceed and before the first byte leaves; called
-  // back without a refusal when it may leave at once.
+  // Must be called after a Proceed and before the first byte is sent. Calls
+  // `on_dispatch` without a refusal when the first byte may be sent at once.
   void RequestDispatch(ClaimId id, ServerId server, OnDispatch on_dispatch) {
     dispatches_[id] = std::move(on_dispatch);
     Run(DispatchRequested{id, std::move(server)});
   }
 
-  // The dispatched request ended; `sent` false is certain that no byte left.
+  // Records that the dispatched request finished. `sent` is false only if it is
+  // certain that no byte was sent.
   void FinishDispatch(ClaimId id, bool sent) {
     Run(DispatchFinished{id, sent});
     if (sent) Forget(id);
   }
 
-  // The request ends without a dispatch, whether or not a verdict came.
+  // Abandons a claim that was not dispatched, with or without a verdict.
   void Abandon(ClaimId id) {
     Run(ClaimAbandoned{id});
     Forget(id);
   }
 
-  // An Attach didn't work; another verdict follows.
+  // Reports that an Attach failed. Another verdict follows.
   void OnAttachFailed(ClaimId id, OnVerdict on_verdict) {
     verdicts_[id] = std::move(on_verdict);
     Run(AttachFailed{id});
   }
 
+  // Answers a peer's query about a key.
   PeerAnswer HandleQuery(const PeerQuery& query) {
     std::vector<Action> actions;
     PeerAnswer answer = machine_.HandleQuery(query, now_(), &actions);
@@ -85,7 +87,7 @@
     return answer;
   }
 
-  // Adds entry hosts that membership knows.
+  // Adds the entry hosts that membership knows.
   void SetPeers(std::vector<EntryHostId> peers) {
     machine_.SetPeers(std::move(peers));
   }
--- a/src/claim/sweeper.h
+++ b/src/claim/sweeper.h
@@ -1,11 +1,10 @@
-// Deletes the rows of claims that nobody can ask for any more. Without it the
-// table grows with every keyed request, and its operators notice by its size
-// and by scans that become slow.
+// Deletes the rows of expired claims. Without it the table grows with every
+// keyed request and its scans become slow.
 //
-// The rows are named by digests, so their first two digits cut the table into
-// 256 slices of about one size. Each slice is swept by one living host, by
-// rank; two that sweep the same one do no harm, since a row is deleted by its
-// version.
+// Row keys are digests, so their first two hexadecimal digits split the table
+// into 256 slices of about equal size. The live host with the highest rank for
+// a slice sweeps it. Two hosts may sweep the same slice without harm, since a
+// delete is conditional on the row's version.
 
 #ifndef GENTIANLB_CLAIM_SWEEPER_H_
 #define GENTIANLB_CLAIM_SWEEPER_H_
@@ -23,33 +22,36 @@
 namespace gentianlb::claim {
 
 struct SweepOptions {
-  // Beyond the longest deadline of 48 h, so that no row goes while its request
-  // still waits, and far beyond the key window of ten minutes: who sends a
-  // permit check again days later is still told that it was run.
+  // Longer than the maximum deadline of 48 h, so that no row is deleted while
+  // its request still waits, and much longer than the key window of ten
+  // minutes: a caller that re-sends a permit check days later still learns that
+  // it ran.
   absl::Duration retention = absl::Hours(72);
-  // One slice of this host or another's; all of them in six hours.
+  // Time between two slices, including those of other hosts. All slices take
+  // six hours.
   absl::Duration slice_interval = absl::Seconds(84);
-  // Below the table's 500 rows a transaction.
+  // The table accepts 500 rows per transaction.
   std::size_t deletes_per_commit = 200;
   bool operator==(const SweepOptions&) const = default;
 };
 
 inline constexpr int kSliceCount = 256;
 
-// The prefix of the rows of one slice.
+// Returns the key prefix of the rows of one slice.
 std::string SlicePrefix(int slice);
 
-// Whether `self` sweeps the slice, among itself and `others`.
+// Returns whether `self` sweeps the slice, among itself and `peers`.
 bool SweepsSlice(int slice, const EntryHostId& self,
                  const std::vector<EntryHostId>& peers);
 
-// The conditional deletes of those rows that are older than the retention, cut
-// into transactions. What does not decode is left for people to look at.
+// Returns transactions with conditional deletes of the rows that are older than
+// the retention. Rows that cannot be decoded are kept for inspection.
 std::vector<store::Transaction> BuildDeletes(
     const std::vector<store::Row>& rows, const SweepOptions& options,
     absl::Time now);
 
-// Owned by the control thread. The table outlives it.
+// Sweeps this host's slices in turn. Owned by the control thread; the table
+// outlives it.
 template <store::TableService Table>
 class Sweeper {
  public:
@@ -60,7 +62,8 @@
     peers_ = std::move(live_hosts);
   }
 
-  // Sweeps the next slice when it is due and this host's.
+  // Advances to the next slice when it is due, and sweeps it if it is this
+  // host's.
   void Tick(absl::Time now) {
     if (now < next_due_) return;
     next_due_ = now + options_.slice_interval;
@@ -68,7 +71,7 @@
     next_slice_ = (next_slice_ + 1) % kSliceCount;
     if (!SweepsSlice(slice, self_, peers_)) return;
     table_->Scan(SlicePrefix(slice), [this, now](store::ReadResult rows) {
-      // An outage: the slice's turn comes again.
+      // During an outage the slice is skipped until the next round.
       if (rows.ok()) Delete(rows.value(), now);
     });
   }
