--- a/src/claim/claim_machine_test.cc
+++ b/src/claim/claim_machine_test.cc
@@ -11,12 +11,12 @@
   return absl::FromUnixSeconds(1'000'000 + seconds);
 }
 
-// One machine, with the answers of the table given by hand.
+// Drives one machine; the tests supply the table's answers.
 class Driver {
  public:
   Driver() : machine_({.self = EntryHostId("b"), .incarnation = 1}, At(0)) {}
 
-  // Takes the actions of the last event that are of type T.
+  // Returns the last event's actions of type T.
   template <typename T>
   std::vector<T> ActionsOf() const {
     std::vector<T> found;
@@ -69,10 +69,10 @@
   return lease;
 }
 
-// Host a ran a key while it had lost the table, and writes its row just after
-// a re-send at host b got a row there. When b looks at the leases, a is covered
-// again; b would run the key a second time if it didn't see that a's cover
-// began after its own row.
+// Guards against a key that runs twice. Host a ran the key while it had lost
+// the table, and writes its row just after host b wrote a row for a re-send.
+// When b scans the leases, a's lease is current again. It began after b's row,
+// so b must still query a.
 BOOST_AUTO_TEST_CASE(LeaseStartedAfterRowDoesNotCoverIt) {
   for (bool earlier : {false, true}) {
     Driver host;
@@ -88,8 +88,8 @@
   }
 }
 
-// Two hosts without the table ask this one about the same key, and one of them
-// runs it. A re-send that arrives here must be asked of both.
+// Two hosts without the table query this one about the same key, and one of
+// them runs it. A re-send that arrives here must query both.
 BOOST_AUTO_TEST_CASE(EveryRequesterIsRemembered) {
   Driver host;
   host.Handle(TimerFired{}, At(0));
@@ -103,8 +103,8 @@
   BOOST_TEST(host.ActionsOf<VerdictGiven>().empty());
 }
 
-// The table refuses a refund's claim. The caller has to hear at once that it
-// was not run, and when to come back.
+// The table refuses the claim of a non-idempotent request. The caller must get
+// at once a refusal that says not run, with a retry-after time.
 BOOST_AUTO_TEST_CASE(ANonIdempotentCallWithoutTheTableIsRefusedAtOnce) {
   Driver host;
   host.Handle(ClaimOpened{1, {.key = ClaimKey("key"), .idempotent = false}},
--- a/src/claim/explore_test.cc
+++ b/src/claim/explore_test.cc
@@ -1,5 +1,6 @@
-// An exhaustive explorer: the real ClaimMachine at two or three hosts, one key,
-// and every order of messages, faults and callers' sendings within a bound.
+// Exhaustive state exploration of the real ClaimMachine: two or three hosts,
+// one key, and every order of messages, faults and callers' requests within a
+// bound.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -23,20 +24,20 @@
   return EntryHostId(std::string(1, static_cast<char>('a' + host)));
 }
 
-// How many of each fault a path may have.
+// Maximum number of each fault on a path.
 struct Faults {
-  int lost_answers = 0;    // Of the table: after or before the effect.
-  int delayed_writes = 0;  // Take effect after their sender gave up.
-  int crashes = 0;         // The host comes back as a new incarnation.
+  int lost_answers = 0;    // A table call is lost before or after its effect.
+  int delayed_writes = 0;  // Writes take effect after their sender gave up.
+  int crashes = 0;         // The host restarts as a new incarnation.
   int pauses = 0;
-  int table_outages = 0;    // One host loses the table, and gets it back.
-  int peer_partitions = 0;  // All hosts lose each other, and get back.
+  int table_outages = 0;    // One host loses the table for some time.
+  int peer_partitions = 0;  // No host reaches another for some time.
   int abandons = 0;
-  int not_sent = 0;  // A dispatch that certainly never left.
+  int not_sent = 0;  // A dispatch certainly sent no byte.
   auto operator<=>(const Faults&) const = default;
 };
 
-// One sending of the key by its caller.
+// One request of the caller for the key.
 struct RequestPlan {
   int host = 0;
   int attempt = 0;
@@ -48,11 +49,11 @@
   bool idempotent = true;
   std::vector<RequestPlan> requests;
   Faults faults;
-  std::vector<int> jumps;  // Seconds; each may be taken once.
+  std::vector<int> time_jumps;  // In seconds; each may be taken once.
   std::vector<int> table_down_at_start;
   absl::Duration warm_up = absl::Seconds(20);
   int depth = 12;
-  bool last_host_joins_late = false;  // A name that nobody knows yet.
+  bool last_host_joins_late = false;  // Its name is new to the others.
 };
 
 enum class RequestState {
@@ -65,7 +66,7 @@
   kRunning,
   kAttached,
   kFinal,
-  kLost,  // Its host crashed or its caller left.
+  kLost,  // Its host crashed or its caller disconnected.
 };
 
 struct Request {
@@ -80,7 +81,7 @@
 
 struct Message {
   MessageKind kind = MessageKind::kCommit;
-  int host = 0;  // Who waits for the answer.
+  int host = 0;  // Waits for the answer.
   Incarnation incarnation = 0;
   CallId call = 0;
   store::Transaction transaction;
@@ -88,7 +89,7 @@
   int peer = 0;
   PeerQuery query;
   PeerAnswer answer;
-  bool orphaned = false;  // Nobody waits for the answer any more.
+  bool orphaned = false;  // No host waits for the answer any more.
 };
 
 struct Host {
@@ -98,12 +99,13 @@
   bool table_down = false;
 };
 
-// What led to a state; shared between the states that follow.
+// One step of the path to a state, shared by the states that follow it.
 struct Step {
   std::string text;
   std::shared_ptr<const Step> before;
 };
 
+// State of all hosts, the table, the messages and the requests on one path.
 class World {
  public:
   explicit World(const Model& model) : faults_left_(model.faults) {
@@ -117,7 +119,7 @@
       requests_.push_back({plan, RequestState::kUnsent, {}, {}, false});
     }
     trace_ = nullptr;
-    jumps_ = model.jumps;
+    time_jumps_ = model.time_jumps;
     idempotent_ = model.idempotent;
   }
 
@@ -157,7 +159,8 @@
     for (const Request& s : requests_) {
       text += std::to_string(static_cast<int>(s.state)) + s.owner.str();
     }
-    text += std::to_string(jumps_.size()) + std::to_string(peers_partitioned_);
+    text +=
+        std::to_string(time_jumps_.size()) + std::to_string(peers_partitioned_);
     for (int left : {faults_left_.lost_answers, faults_left_.delayed_writes,
                      faults_left_.crashes, faults_left_.pauses,
                      faults_left_.table_outages, faults_left_.peer_partitions,
@@ -167,7 +170,7 @@
     return text;
   }
 
-  // Every state that one step leads to.
+  // Returns every state that is one step away.
   std::vector<World> Successors() const {
     std::vector<World> next;
     AddMessageSteps(&next);
@@ -177,7 +180,8 @@
     return next;
   }
 
-  // No more faults: everything heals, every message arrives, time passes.
+  // Ends all faults, delivers every message, and lets time pass until all
+  // requests have finished.
   void Settle() {
     faults_left_ = {};
     peers_partitioned_ = false;
@@ -186,10 +190,10 @@
       if (hosts_[Index(h)].machine.empty()) Restart(h);
     }
     for (int round = 0; round < 40 && !(AllFinished() && round > 2); ++round) {
-      while (!messages_.empty()) Deliver(0, Fate::kArrives);
+      while (!messages_.empty()) Deliver(0, Delivery::kArrives);
       for (std::size_t i = 0; i < requests_.size(); ++i) {
-        bool over = i > 0 && now_ - requests_[0].sent > kWindow;
-        if (requests_[i].state == RequestState::kUnsent && over) {
+        bool window_passed = i > 0 && now_ - requests_[0].sent > kWindow;
+        if (requests_[i].state == RequestState::kUnsent && window_passed) {
           requests_[i].state = RequestState::kLost;
         }
         AdvanceRequest(i);
@@ -201,7 +205,7 @@
   }
 
  private:
-  enum class Fate { kArrives, kAnswerLost, kLostBefore, kDelayed };
+  enum class Delivery { kArrives, kAnswerLost, kCallLost, kDelayed };
 
   static std::size_t Index(int host) { return static_cast<std::size_t>(host); }
 
@@ -243,7 +247,7 @@
 
   void Perform(int host, std::vector<Action> actions) {
     for (Action& action : actions) {
-      std::visit([&](auto& action) { Do(host, std::move(action)); }, action);
+      std::visit([&](auto& typed) { Do(host, std::move(typed)); }, action);
     }
   }
 
@@ -309,55 +313,56 @@
   void AddMessageSteps(std::vector<World>* next) const {
     for (std::size_t i = 0; i < messages_.size(); ++i) {
       const Message& m = messages_[i];
-      // What waits for a paused host arrives when it wakes.
+      // Answers to a paused host arrive when it wakes.
       bool waits = m.kind == MessageKind::kAnswer && !Awake(m.host);
       if (waits && !hosts_[Index(m.host)].machine.empty()) continue;
-      Branch(next, i, Fate::kArrives);
+      Branch(next, i, Delivery::kArrives);
       bool write = m.kind == MessageKind::kCommit && !m.orphaned;
       if (write && TableReachable(m) && faults_left_.lost_answers > 0) {
-        Branch(next, i, Fate::kAnswerLost);
-        Branch(next, i, Fate::kLostBefore);
+        Branch(next, i, Delivery::kAnswerLost);
+        Branch(next, i, Delivery::kCallLost);
       }
       if (write && TableReachable(m) && faults_left_.delayed_writes > 0) {
-        Branch(next, i, Fate::kDelayed);
+        Branch(next, i, Delivery::kDelayed);
       }
     }
   }
 
-  void Branch(std::vector<World>* next, std::size_t i, Fate fate) const {
+  void Branch(std::vector<World>* next, std::size_t i,
+              Delivery delivery) const {
     next->push_back(*this);
     World& world = next->back();
-    if (fate == Fate::kAnswerLost) --world.faults_left_.lost_answers;
-    if (fate == Fate::kLostBefore) --world.faults_left_.lost_answers;
-    if (fate == Fate::kDelayed) --world.faults_left_.delayed_writes;
-    world.Deliver(i, fate);
+    if (delivery == Delivery::kAnswerLost) --world.faults_left_.lost_answers;
+    if (delivery == Delivery::kCallLost) --world.faults_left_.lost_answers;
+    if (delivery == Delivery::kDelayed) --world.faults_left_.delayed_writes;
+    world.Deliver(i, delivery);
   }
 
-  void Deliver(std::size_t i, Fate fate) {
+  void Deliver(std::size_t i, Delivery delivery) {
     Message m = messages_[i];
     messages_.erase(messages_.begin() + static_cast<std::ptrdiff_t>(i));
     Trace("deliver " + std::to_string(static_cast<int>(m.kind)) + " of " +
           Name(m.host).str() + " fate " +
-          std::to_string(static_cast<int>(fate)));
+          std::to_string(static_cast<int>(delivery)));
     if (m.kind == MessageKind::kQuery) return DeliverQuery(m);
     if (m.kind == MessageKind::kAnswer) {
       return Reply(m, PeerAnswered{m.call, m.answer});
     }
-    if (m.kind == MessageKind::kCommit) return DeliverCommit(m, fate);
+    if (m.kind == MessageKind::kCommit) return DeliverCommit(m, delivery);
     ReadAnswered answer{m.call, std::nullopt};
     if (TableReachable(m)) answer.rows = ReadRows(m);
     Reply(m, answer);
   }
 
-  void DeliverCommit(const Message& m, Fate fate) {
+  void DeliverCommit(const Message& m, Delivery delivery) {
     store::CommitResult result{store::CommitState::kUnknown, {}, {}};
     if (!TableReachable(m)) {
       result.state = store::CommitState::kNotApplied;
-    } else if (fate == Fate::kArrives) {
+    } else if (delivery == Delivery::kArrives) {
       result = Apply(m.transaction);
-    } else if (fate == Fate::kAnswerLost) {
+    } else if (delivery == Delivery::kAnswerLost) {
       Apply(m.transaction);
-    } else if (fate == Fate::kDelayed) {
+    } else if (delivery == Delivery::kDelayed) {
       messages_.push_back(m);
       messages_.back().orphaned = true;
     }
@@ -380,7 +385,7 @@
         table_.erase(write.key);
         continue;
       }
-      // Versions are never used twice, also after a deletion.
+      // Versions are never reused, not even after a delete.
       table_[write.key] = {write.key, *write.value, ++last_version_};
       result.versions.push_back({write.key, "", last_version_});
     }
@@ -423,7 +428,7 @@
   void AddRequestSteps(std::vector<World>* next) const {
     for (std::size_t i = 0; i < requests_.size(); ++i) {
       const Request& s = requests_[i];
-      // A caller sends again only after its first sending.
+      // A caller sends its requests in order, within the key window.
       bool may_send = i == 0 || requests_[i - 1].state != RequestState::kUnsent;
       if (i > 0 && now_ - requests_[0].sent > kWindow) may_send = false;
       if (s.state == RequestState::kUnsent && !may_send) continue;
@@ -449,7 +454,7 @@
     }
   }
 
-  // The next thing that an entry host or a caller does with a sending.
+  // Performs the next step of a request at its caller or entry host.
   void AdvanceRequest(std::size_t i) {
     Request& s = requests_[i];
     ClaimId id = i + 1;
@@ -502,8 +507,8 @@
 
   void ResolveAttach(Request* s, ClaimId id) {
     int owner = s->owner.str()[0] - 'a';
-    bool there = Awake(owner) && !peers_partitioned_ && HoldsKey(owner);
-    if (there) {
+    bool reachable = Awake(owner) && !peers_partitioned_ && HoldsKey(owner);
+    if (reachable) {
       s->state = RequestState::kFinal;
       Handle(s->plan.host, ClaimAbandoned{id});
     } else {
@@ -578,28 +583,28 @@
     hosts_[Index(h)].machine.clear();
     hosts_[Index(h)].paused = false;
     for (Request& s : requests_) {
-      bool there = s.plan.host == h && s.state != RequestState::kUnsent &&
-                   s.state != RequestState::kFinal;
-      if (there) s.state = RequestState::kLost;
+      bool at_host = s.plan.host == h && s.state != RequestState::kUnsent &&
+                     s.state != RequestState::kFinal;
+      if (at_host) s.state = RequestState::kLost;
     }
   }
 
   void AddTimeJumps(std::vector<World>* next) const {
-    if (jumps_.empty()) return;
-    // The transports give up within two seconds, so that nothing of an awake
-    // host stays under way for as long as a jump.
+    if (time_jumps_.empty()) return;
+    // The transports time out within two seconds, so no message of an awake
+    // host stays in flight as long as a time jump.
     bool busy = std::any_of(messages_.begin(), messages_.end(), [&](auto& m) {
       return !m.orphaned && Awake(m.host);
     });
     if (busy) return;
     next->push_back(*this);
     World& world = next->back();
-    world.jumps_.erase(world.jumps_.begin());
-    world.Trace("jump " + std::to_string(jumps_.front()));
-    world.Advance(absl::Seconds(jumps_.front()));
+    world.time_jumps_.erase(world.time_jumps_.begin());
+    world.Trace("jump " + std::to_string(time_jumps_.front()));
+    world.Advance(absl::Seconds(time_jumps_.front()));
   }
 
-  // Time passes; awake hosts renew their leases meanwhile.
+  // Advances the time; awake hosts renew their leases meanwhile.
   void Advance(absl::Duration duration) {
     for (absl::Time end = now_ + duration; now_ < end;) {
       now_ = std::min(end, now_ + kTickStep);
@@ -608,7 +613,7 @@
       }
     }
     for (Request& s : requests_) {
-      // The HTTP server drops a message that isn't whole after 30 s.
+      // The HTTP server drops a message that is incomplete after 30 s.
       bool late = now_ - s.sent > absl::Seconds(30) && Awake(s.plan.host);
       if (s.state == RequestState::kInFlight && late) {
         s.state = RequestState::kLost;
@@ -616,7 +621,7 @@
     }
   }
 
-  // One tick; the calls for the lease are answered at once.
+  // Fires the timer of a host and answers its lease calls at once.
   void Tick(int h) {
     Handle(h, TimerFired{});
     for (int round = 0; round < 3; ++round) DeliverLeaseCalls(h);
@@ -630,7 +635,7 @@
                     m.transaction.writes[0].key.starts_with(kLeasePrefix));
       if (!lease || m.host != h || m.orphaned) continue;
       std::shared_ptr<const Step> trace = trace_;
-      Deliver(i, Fate::kArrives);
+      Deliver(i, Delivery::kArrives);
       trace_ = std::move(trace);
       return;
     }
@@ -642,7 +647,7 @@
   store::RowVersion last_version_ = 0;
   std::vector<Message> messages_;
   std::vector<Request> requests_;
-  std::vector<int> jumps_;
+  std::vector<int> time_jumps_;
   Faults faults_left_;
   bool peers_partitioned_ = false;
   bool idempotent_ = true;
@@ -654,10 +659,10 @@
 struct ExploreResult {
   std::size_t states = 0;
   std::string violation;
-  bool ran = false;  // Some path ended with the key executed.
+  bool ran = false;  // The key was executed on some path.
 };
 
-// Breadth first, so that the first violation has the shortest trace.
+// Explores breadth first, so that the first violation has the shortest trace.
 ExploreResult Explore(const Model& model) {
   ExploreResult result;
   absl::flat_hash_set<std::uint64_t> seen;
@@ -695,9 +700,9 @@
   BOOST_TEST(result.ran);
 }
 
-// A caller's first sending seems lost, and it sends the key again through
-// another host while the table loses answers and writes take effect late.
-// Without reading a row back by its own token, the call would run twice.
+// A caller re-sends the key through another host, while the table loses answers
+// and writes take effect late. The key would run twice if a host did not read
+// the row back and compare its token.
 BOOST_AUTO_TEST_CASE(LostAnswersOfTheTable) {
   CheckModel({.name = "lost answers",
               .requests = {{0, 1}, {1, 2}},
@@ -705,9 +710,10 @@
               .depth = 13});
 }
 
-// A refund is sent twice through two hosts, one of which is paused, or dies,
-// between its claim and its dispatch. The subscriber would be refunded twice if
-// the paused host still dispatched after the other had replaced its row.
+// A non-idempotent request is sent twice through two hosts, one of which is
+// paused or dies between its claim and its dispatch. The request would run
+// twice if the paused host still dispatched after the other had replaced its
+// row.
 BOOST_AUTO_TEST_CASE(PausedOwnerOfANonIdempotentCall) {
   CheckModel({.name = "non-idempotent, pause and crash",
               .idempotent = false,
@@ -716,44 +722,46 @@
               .depth = 12});
 }
 
-// One host loses the table for longer than its lease; the caller's first
-// sending reaches that host and its re-send the other, which still has the
-// table and finds no row. Both would run it if the second didn't see the lapse.
+// One host loses the table for longer than its lease. The caller's first
+// request reaches that host, and its re-send reaches the other, which has the
+// table and finds no row. Both would run the key if the second ignored the
+// lapsed lease.
 BOOST_AUTO_TEST_CASE(OneHostWithoutTheTable) {
   CheckModel({.name = "one host cut from the table",
               .requests = {{0, 1}, {1, 2}},
               .faults = {.pauses = 1, .peer_partitions = 1},
-              .jumps = {35, 35, 20},
+              .time_jumps = {35, 35, 20},
               .table_down_at_start = {0},
               .depth = 11});
 }
 
-// The platform is out for everybody, and the caller doesn't mark its sendings.
-// Two hosts ask each other about the same key at the same time.
+// The platform is down for all hosts, and the caller does not mark its
+// attempts. Two hosts query each other about the same key at the same time:
+// at most one of them may run it.
 BOOST_AUTO_TEST_CASE(TableDownForAllHosts) {
   CheckModel({.name = "platform out, unmarked",
               .requests = {{0, 0}, {1, 0}},
               .faults = {.crashes = 1, .pauses = 1},
-              .jumps = {35, 20},
+              .time_jumps = {35, 20},
               .table_down_at_start = {0, 1},
               .warm_up = absl::Minutes(12),
               .depth = 10});
 }
 
-// The platform is out and comes back at one host after the other. A key that
-// ran without a row must not run again at the host that is back first.
+// The platform recovers at one host after the other. A key that ran without a
+// row must not run again at the host that reaches the table first.
 BOOST_AUTO_TEST_CASE(TableRecoversAtOneHostFirst) {
   CheckModel({.name = "platform returns",
               .requests = {{0, 1}, {1, 2}},
               .faults = {.lost_answers = 1, .crashes = 1},
-              .jumps = {35, 35, 8},
+              .time_jumps = {35, 35, 8},
               .table_down_at_start = {0, 1},
               .depth = 11});
 }
 
-// A caller gives up before the dispatch, or no byte could be sent, and sends
-// the key again. A claim that nobody closed would block the key; one that is
-// closed too early would let it run twice.
+// A caller gives up before the dispatch, or no byte could be sent, and the
+// caller re-sends the key. A row that is never deleted would block the key, and
+// one that is deleted too early would let it run twice.
 BOOST_AUTO_TEST_CASE(AbandonedClaims) {
   CheckModel({.name = "abandoned",
               .requests = {{0, 1}, {1, 2}, {0, 3}},
@@ -761,27 +769,27 @@
               .depth = 12});
 }
 
-// Two hosts of three have lost the table, and the caller's unmarked sendings
-// reach all of them. The third is asked by both and must remember both.
+// Two hosts of three have lost the table, and the caller's unmarked requests
+// reach all three. Both query the third, which must remember both queries.
 BOOST_AUTO_TEST_CASE(TwoOfThreeHostsWithoutTheTable) {
   CheckModel({.name = "two of three without the table",
               .hosts = 3,
               .requests = {{0, 0}, {1, 0}, {2, 0}},
               .faults = {.crashes = 1},
-              .jumps = {20},
+              .time_jumps = {20},
               .table_down_at_start = {0, 1},
               .warm_up = absl::Minutes(12),
               .depth = 8});
 }
 
-// A host with a new name joins while another has lost the table and can't have
-// heard of it. What the new host runs, the other must not run again.
+// A host with a new name joins while another has lost the table and cannot know
+// the new host. A key that the new host runs must not run again at the other.
 BOOST_AUTO_TEST_CASE(HostWithNewNameJoins) {
   CheckModel({.name = "new name",
               .hosts = 3,
               .requests = {{2, 1}, {0, 2}},
               .faults = {.crashes = 1},
-              .jumps = {20},
+              .time_jumps = {20},
               .table_down_at_start = {0},
               .warm_up = absl::Minutes(12),
               .depth = 9,
@@ -793,7 +801,7 @@
               .hosts = 3,
               .requests = {{0, 1}, {1, 2}, {2, 3}},
               .faults = {.crashes = 1, .table_outages = 1},
-              .jumps = {35, 35},
+              .time_jumps = {35, 35},
               .table_down_at_start = {0},
               .depth = 8});
 }
--- a/src/claim/sweeper_test.cc
+++ b/src/claim/sweeper_test.cc
@@ -11,7 +11,7 @@
   return absl::UnixEpoch() + absl::Hours(1000) + absl::Hours(hours);
 }
 
-// A table in memory that answers at once.
+// In-memory table that answers at once.
 class FakeTable {
  public:
   void Commit(const store::Transaction& transaction,
@@ -59,8 +59,8 @@
   }
 }
 
-// Months of keyed requests pile up in the table. What is older than three
-// days goes; a permit check of this morning is still known.
+// Guards against a table that grows without limit, and against deletes of rows
+// that are within the retention of three days.
 BOOST_AUTO_TEST_CASE(OldRowsAreDeletedAndFreshRowsStay) {
   FakeTable table;
   for (const char* digits : {"00a", "7f1", "ffe"}) table.Put(digits, At(0));
@@ -72,8 +72,8 @@
   BOOST_TEST(sweeper.deleted() == 3U);
 }
 
-// A host takes an old row over at the very moment in which it is swept. Its
-// claim must stand, or the key could be run twice.
+// A host takes over an old row while the sweeper scans it. The row must not be
+// deleted, or the key could run twice.
 BOOST_AUTO_TEST_CASE(ChangedRowIsNotDeleted) {
   FakeTable table;
   table.Put("00a", At(0));
