--- a/src/store/breaker.h
+++ b/src/store/breaker.h
@@ -36,7 +36,7 @@
   void OnSuccess();
   void OnFailure(absl::Time now);
   // The call told nothing about the service, such as a refusal for its rate.
-  void OnNothing() { probing_ = false; }
+  void OnInconclusive() { probing_ = false; }
 
   bool up() const { return failures_ < options_.failures_to_open; }
   // When Allow() may next say yes, while it says no.
--- a/src/store/call_gate.cc
+++ b/src/store/call_gate.cc
@@ -16,10 +16,10 @@
 
 GateState CallGate::TryStart(CallKind kind, absl::Time now) {
   if (in_flight_ >= options_.max_in_flight) return GateState::kWait;
-  if (Share(kind).NextAt(now) > now) return GateState::kWait;
+  if (ShareFor(kind).NextAt(now) > now) return GateState::kWait;
   // Asked last: the breaker counts whom it lets through.
   if (!breaker_.Allow(now)) return GateState::kDown;
-  Share(kind).Take(now);
+  ShareFor(kind).TryTake(now);
   ++in_flight_;
   ++counters_.sent;
   return GateState::kOpen;
@@ -40,7 +40,7 @@
       return std::nullopt;
     case AnswerKind::kRateLimited:
       // Somebody takes more than its share; the service itself is well.
-      breaker_.OnNothing();
+      breaker_.OnInconclusive();
       ++counters_.rate_limited;
       break;
     case AnswerKind::kNotApplied:
--- a/src/store/call_gate.h
+++ b/src/store/call_gate.h
@@ -74,7 +74,7 @@
   const GateCounters& counters() const { return counters_; }
 
  private:
-  RateShare& Share(CallKind kind) {
+  RateShare& ShareFor(CallKind kind) {
     return kind == CallKind::kRead ? reads_ : writes_;
   }
 
--- a/src/store/client.cc
+++ b/src/store/client.cc
@@ -18,7 +18,7 @@
 constexpr int kServerErrors = 500;
 
 // How a whole call ended, after its retries.
-struct CallEnd {
+struct CallResult {
   AnswerKind kind = AnswerKind::kNotApplied;
   http::Reply reply;
 };
@@ -26,13 +26,13 @@
 struct Call {
   CallKind kind = CallKind::kRead;
   http::ClientRequest request;
-  std::function<void(CallEnd)> done;
+  std::function<void(CallResult)> done;
   absl::Time deadline;
   int retries = 0;
   bool maybe_applied = false;  // An earlier sending was lost.
 };
 
-AnswerKind Sort(const http::Reply& reply) {
+AnswerKind Classify(const http::Reply& reply) {
   if (reply.end == http::TransferEnd::kNotSent) return AnswerKind::kNotApplied;
   if (reply.end != http::TransferEnd::kComplete) return AnswerKind::kLost;
   if (reply.status == kTooMany) return AnswerKind::kRateLimited;
@@ -42,34 +42,34 @@
   return AnswerKind::kAnswered;
 }
 
-CommitResult ToCommitResult(const CallEnd& end) {
-  if (end.kind == AnswerKind::kLost) return {CommitState::kUnknown, {}, {}};
-  if (end.kind != AnswerKind::kAnswered) {
+CommitResult ToCommitResult(const CallResult& outcome) {
+  if (outcome.kind == AnswerKind::kLost) return {CommitState::kUnknown, {}, {}};
+  if (outcome.kind != AnswerKind::kAnswered) {
     return {CommitState::kNotApplied, {}, {}};
   }
-  if (end.reply.status != kOk && end.reply.status != kConflict) {
+  if (outcome.reply.status != kOk && outcome.reply.status != kConflict) {
     return {CommitState::kNotApplied, {}, {}};
   }
-  auto decoded =
-      Capture([&] { return DecodeCommit(end.reply.status, end.reply.body); });
+  auto decoded = Capture(
+      [&] { return DecodeCommit(outcome.reply.status, outcome.reply.body); });
   // An answer that can't be read tells as little as none.
   if (!decoded.ok()) return {CommitState::kUnknown, {}, {}};
   return decoded.value();
 }
 
 // The body of a successful answer, or why there is none.
-Outcome<std::string> ToBody(CallEnd end) {
-  if (end.kind == AnswerKind::kRateLimited) {
+Outcome<std::string> ToBody(CallResult outcome) {
+  if (outcome.kind == AnswerKind::kRateLimited) {
     return Error{Code::kPlatformRate, "rate limited"};
   }
-  if (end.kind != AnswerKind::kAnswered) {
-    return Error{Code::kPlatformUnavailable, end.reply.detail};
+  if (outcome.kind != AnswerKind::kAnswered) {
+    return Error{Code::kPlatformUnavailable, outcome.reply.detail};
   }
-  if (end.reply.status != kOk) {
+  if (outcome.reply.status != kOk) {
     return Error{Code::kBadPlatformAnswer,
-                 absl::StrCat("status ", end.reply.status)};
+                 absl::StrCat("status ", outcome.reply.status)};
   }
-  return std::move(end.reply.body);
+  return std::move(outcome.reply.body);
 }
 
 }  // namespace
@@ -115,38 +115,38 @@
   }
 
   void Submit(CallKind kind, http::ClientRequest request,
-              std::function<void(CallEnd)> done) {
+              std::function<void(CallResult)> done) {
     absl::Time now = absl::Now();
     Call call{kind, std::move(request), std::move(done),
               now + options.deadline};
     if (waiting.size() >= options.max_waiting) {
-      ++counters.refused_at_once;
+      ++counters.rejected_immediately;
       Finish(std::move(call), AnswerKind::kNotApplied, {});
       return;
     }
     waiting.push_back(std::move(call));
-    Pump(now);
+    ProcessQueue(now);
   }
 
   // Sends what may be sent, and sets the timer for the rest.
-  void Pump(absl::Time now) {
+  void ProcessQueue(absl::Time now) {
     if (closed) return;
     FormBatches(now);
-    std::deque<Call> left;
+    std::deque<Call> remaining;
     while (!waiting.empty()) {
       Call call = std::move(waiting.front());
       waiting.pop_front();
-      Place(std::move(call), now, &left);
+      StartOrQueue(std::move(call), now, &remaining);
     }
     // A callback may have added calls meanwhile.
-    left.insert(left.end(), std::make_move_iterator(waiting.begin()),
-                std::make_move_iterator(waiting.end()));
-    waiting = std::move(left);
+    remaining.insert(remaining.end(), std::make_move_iterator(waiting.begin()),
+                     std::make_move_iterator(waiting.end()));
+    waiting = std::move(remaining);
     ReportState();
     SetTimer(now);
   }
 
-  void Place(Call call, absl::Time now, std::deque<Call>* left) {
+  void StartOrQueue(Call call, absl::Time now, std::deque<Call>* remaining) {
     if (now >= call.deadline) {
       Finish(std::move(call), AnswerKind::kNotApplied, {});
       return;
@@ -156,10 +156,10 @@
         Send(std::move(call), now);
         return;
       case GateState::kWait:
-        left->push_back(std::move(call));
+        remaining->push_back(std::move(call));
         return;
       case GateState::kDown:
-        ++counters.refused_at_once;
+        ++counters.rejected_immediately;
         Finish(std::move(call), AnswerKind::kNotApplied, {});
         return;
     }
@@ -170,7 +170,7 @@
   void FormBatches(absl::Time now) {
     while (group.NextDue() <= now &&
            (gate.NextAt(CallKind::kWrite, now) <= now || !gate.up())) {
-      std::optional<Batch> batch = group.Take(now);
+      std::optional<Batch> batch = group.TakeBatch(now);
       if (!batch) return;
       batch->transaction.token =
           absl::StrCat(options.host_name, "/group/", next_token++);
@@ -179,25 +179,26 @@
           Request("POST", "/v1/table/commit", EncodeCommit(batch->transaction));
       auto shared = std::make_shared<Batch>(std::move(*batch));
       Call call{CallKind::kWrite, std::move(request),
-                [this, shared](CallEnd end) {
-                  Settle(std::move(*shared), ToCommitResult(end));
+                [this, shared](CallResult outcome) {
+                  FinishMembers(std::move(*shared), ToCommitResult(outcome));
                 },
                 now + options.deadline};
-      std::deque<Call> left;
-      Place(std::move(call), now, &left);
-      for (Call& later : left) waiting.push_back(std::move(later));
+      std::deque<Call> remaining;
+      StartOrQueue(std::move(call), now, &remaining);
+      for (Call& queued : remaining) waiting.push_back(std::move(queued));
     }
   }
 
-  void Settle(Batch batch, const CommitResult& result) {
-    for (Settled& settled : group.OnResult(std::move(batch), result)) {
-      auto node = members.extract(settled.id);
-      if (!node.empty()) node.mapped()(std::move(settled.result));
+  void FinishMembers(Batch batch, const CommitResult& result) {
+    for (MemberResult& finished : group.OnResult(std::move(batch), result)) {
+      auto node = members.extract(finished.id);
+      if (!node.empty()) node.mapped()(std::move(finished.result));
     }
   }
 
   void Send(Call call, absl::Time now) {
-    call.request.timeout = std::min(options.try_timeout, call.deadline - now);
+    call.request.timeout =
+        std::min(options.attempt_timeout, call.deadline - now);
     http::ClientRequest request = call.request;
     auto shared = std::make_shared<Call>(std::move(call));
     auto self = shared_from_this();
@@ -212,27 +213,28 @@
 
   void OnReply(Call call, http::Reply reply) {
     absl::Time now = absl::Now();
-    AnswerKind kind = Sort(reply);
+    AnswerKind kind = Classify(reply);
     bool lost = kind == AnswerKind::kLost;
-    double draw = absl::Uniform(random, 0.0, 1.0);
-    auto again = gate.OnAnswer(kind, call.retries, now, draw);
+    double random_fraction = absl::Uniform(random, 0.0, 1.0);
+    auto retry_at = gate.OnAnswer(kind, call.retries, now, random_fraction);
     call.maybe_applied = call.maybe_applied || lost;
-    if (kind != AnswerKind::kAnswered && again && *again < call.deadline) {
+    if (kind != AnswerKind::kAnswered && retry_at &&
+        *retry_at < call.deadline) {
       ++call.retries;
       if (lost) ++counters.follow_ups;
-      Later(std::move(call), *again);
+      RetryAt(std::move(call), *retry_at);
     } else {
       Finish(std::move(call), kind, std::move(reply));
     }
-    Pump(now);
+    ProcessQueue(now);
   }
 
-  void Later(Call call, absl::Time when) {
+  void RetryAt(Call call, absl::Time when) {
     auto shared = std::make_shared<Call>(std::move(call));
     timers->At(when, [self = shared_from_this(), shared](absl::Time now) {
       if (self->closed) return;
       self->waiting.push_front(std::move(*shared));
-      self->Pump(now);
+      self->ProcessQueue(now);
     });
   }
 
@@ -240,16 +242,17 @@
     // A lost sending stays in doubt until the service has answered, whatever
     // refused its follow-up: a caller told "not applied" would say "not run" of
     // a claim that another host then finds in the table.
-    bool doubt = call.maybe_applied && kind != AnswerKind::kAnswered;
-    if (doubt) kind = AnswerKind::kLost;
+    bool in_doubt = call.maybe_applied && kind != AnswerKind::kAnswered;
+    if (in_doubt) kind = AnswerKind::kLost;
     // Later, also when the call failed at once: a caller isn't called back
     // from within its own call.
-    auto end = std::make_shared<CallEnd>(CallEnd{kind, std::move(reply)});
-    post([self = shared_from_this(), done = std::move(call.done), end] {
+    auto outcome =
+        std::make_shared<CallResult>(CallResult{kind, std::move(reply)});
+    post([self = shared_from_this(), done = std::move(call.done), outcome] {
       if (self->closed) return;
-      done(std::move(*end));
+      done(std::move(*outcome));
       // Members of a group that met a conflict wait to go again.
-      self->Pump(absl::Now());
+      self->ProcessQueue(absl::Now());
     });
   }
 
@@ -271,15 +274,15 @@
     wakeup = timers->At(std::max(due, now + absl::Microseconds(1)),
                         [self = shared_from_this()](absl::Time at) {
                           self->wakeup = 0;
-                          self->Pump(at);
+                          self->ProcessQueue(at);
                         });
   }
 
   void ReadRows(std::string path, std::string body,
                 std::function<void(Outcome<ScanPage>)> done) {
     Submit(CallKind::kRead, Request("POST", path, std::move(body)),
-           [done = std::move(done)](CallEnd end) {
-             Outcome<std::string> text = ToBody(std::move(end));
+           [done = std::move(done)](CallResult outcome) {
+             Outcome<std::string> text = ToBody(std::move(outcome));
              if (!text.ok()) return done(text.error());
              done(Capture([&] { return DecodeRows(text.value()); }));
            });
@@ -292,10 +295,11 @@
              [this, prefix = std::move(prefix), rows = std::move(rows),
               done = std::move(done)](Outcome<ScanPage> page) mutable {
                if (!page.ok()) return done(page.error());
-               std::vector<Row>& got = page.value().rows;
-               bool more = page.value().more && !got.empty();
-               rows.insert(rows.end(), std::make_move_iterator(got.begin()),
-                           std::make_move_iterator(got.end()));
+               std::vector<Row>& page_rows = page.value().rows;
+               bool more = page.value().more && !page_rows.empty();
+               rows.insert(rows.end(),
+                           std::make_move_iterator(page_rows.begin()),
+                           std::make_move_iterator(page_rows.end()));
                if (!more) return done(std::move(rows));
                std::string last = rows.back().key;
                ScanFrom(std::move(prefix), std::move(last), std::move(rows),
@@ -322,15 +326,15 @@
     MemberId id = impl_->next_member++;
     impl_->members[id] = std::move(done);
     impl_->group.Add(id, std::move(transaction), now);
-    impl_->Pump(now);
+    impl_->ProcessQueue(now);
     return;
   }
   ++impl_->counters.commits;
   impl_->Submit(
       CallKind::kWrite,
       impl_->Request("POST", "/v1/table/commit", EncodeCommit(transaction)),
-      [done = std::move(done)](const CallEnd& end) {
-        done(ToCommitResult(end));
+      [done = std::move(done)](const CallResult& outcome) {
+        done(ToCommitResult(outcome));
       });
 }
 
@@ -353,25 +357,26 @@
       "PUT", "/v1/objects/" + std::string(name), std::move(bytes));
   impl_->Submit(
       CallKind::kWrite, std::move(request),
-      [done = std::move(done)](CallEnd end) {
-        Outcome<std::string> body = ToBody(std::move(end));
+      [done = std::move(done)](CallResult outcome) {
+        Outcome<std::string> body = ToBody(std::move(outcome));
         done(body.ok() ? std::nullopt : std::optional<Error>(body.error()));
       });
 }
 
 void Client::GetObject(std::string_view name,
                        std::function<void(Outcome<std::string>)> done) {
-  impl_->Submit(
-      CallKind::kRead,
-      impl_->Request("GET", "/v1/objects/" + std::string(name), ""),
-      [done = std::move(done)](CallEnd end) { done(ToBody(std::move(end))); });
+  impl_->Submit(CallKind::kRead,
+                impl_->Request("GET", "/v1/objects/" + std::string(name), ""),
+                [done = std::move(done)](CallResult outcome) {
+                  done(ToBody(std::move(outcome)));
+                });
 }
 
 void Client::ListHosts(
     std::function<void(Outcome<std::vector<ListedHost>>)> done) {
   impl_->Submit(CallKind::kRead, impl_->Request("GET", "/v1/hosts", ""),
-                [done = std::move(done)](CallEnd end) {
-                  Outcome<std::string> body = ToBody(std::move(end));
+                [done = std::move(done)](CallResult outcome) {
+                  Outcome<std::string> body = ToBody(std::move(outcome));
                   if (!body.ok()) return done(body.error());
                   done(Capture([&] { return DecodeHosts(body.value()); }));
                 });
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -32,7 +32,7 @@
   GroupOptions group;
   // One sending. A healthy answer takes a few milliseconds; after this it is
   // taken for lost, and the same token is sent again to learn what happened.
-  absl::Duration try_timeout = absl::Milliseconds(500);
+  absl::Duration attempt_timeout = absl::Milliseconds(500);
   // A call with all its retries. Longer than a lost answer and its follow-up,
   // shorter than the patience of an interactive caller.
   absl::Duration deadline = absl::Seconds(2);
@@ -42,10 +42,10 @@
 
 struct ClientCounters {
   GateCounters gate;
-  std::uint64_t transactions = 0;     // Commits asked for by callers.
-  std::uint64_t commits = 0;          // Commits made of them.
-  std::uint64_t follow_ups = 0;       // Same token again after a lost answer.
-  std::uint64_t refused_at_once = 0;  // Down, or too many waiting.
+  std::uint64_t transactions = 0;  // Commits asked for by callers.
+  std::uint64_t commits = 0;       // Commits made of them.
+  std::uint64_t follow_ups = 0;    // Same token again after a lost answer.
+  std::uint64_t rejected_immediately = 0;  // Down, or too many waiting.
   auto operator<=>(const ClientCounters&) const = default;
 };
 
--- a/src/store/client_test.cc
+++ b/src/store/client_test.cc
@@ -19,7 +19,7 @@
     auto started =
         http::Server::Start({}, [this](http::Request request, auto answer) {
           absl::MutexLock lock(&mutex_);
-          Serve(request, *answer);
+          HandleRequest(request, *answer);
         });
     BOOST_REQUIRE(started.ok());
     server_ = std::move(started.value());
@@ -31,7 +31,7 @@
   // The next commits take effect, and their answers never arrive.
   void LoseAnswers(int count) {
     absl::MutexLock lock(&mutex_);
-    lose_ = count;
+    answers_to_lose_ = count;
   }
   void SetDown(bool down) {
     absl::MutexLock lock(&mutex_);
@@ -43,7 +43,7 @@
   }
 
  private:
-  void Serve(const http::Request& request, http::Responder& answer)
+  void HandleRequest(const http::Request& request, http::Responder& answer)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
     if (down_) return answer.Respond(503, {}, "{}");
     Json::Value body;
@@ -58,8 +58,8 @@
     ++commits_;
     std::string token = body["token"].asString();
     if (!answers_.contains(token)) answers_[token] = Apply(body);
-    if (lose_ > 0) {
-      --lose_;
+    if (answers_to_lose_ > 0) {
+      --answers_to_lose_;
       return answer.Abort();
     }
     const Json::Value& result = answers_[token];
@@ -72,8 +72,8 @@
     Json::Value conflicts(Json::arrayValue);
     for (const Json::Value& condition : body["conditions"]) {
       std::string key = condition["key"].asString();
-      std::uint64_t have = rows_.contains(key) ? rows_[key].version : 0;
-      if (have != condition["version"].asUInt64()) conflicts.append(key);
+      std::uint64_t version = rows_.contains(key) ? rows_[key].version : 0;
+      if (version != condition["version"].asUInt64()) conflicts.append(key);
     }
     Json::Value result;
     if (!conflicts.empty()) {
@@ -114,16 +114,16 @@
   absl::Mutex mutex_;
   std::map<std::string, Row> rows_ ABSL_GUARDED_BY(mutex_);
   std::map<std::string, Json::Value> answers_ ABSL_GUARDED_BY(mutex_);
-  int lose_ ABSL_GUARDED_BY(mutex_) = 0;
+  int answers_to_lose_ ABSL_GUARDED_BY(mutex_) = 0;
   bool down_ ABSL_GUARDED_BY(mutex_) = false;
   int commits_ ABSL_GUARDED_BY(mutex_) = 0;
   std::unique_ptr<http::Server> server_;
 };
 
 // A control thread in small: the test's own thread with a mailbox and timers.
-class Control {
+class ControlThread {
  public:
-  explicit Control(const std::string& address)
+  explicit ControlThread(const std::string& address)
       : client_({.address = address, .host_name = "host/1"}, &http_, &timers_,
                 [this](std::function<void()> closure) {
                   absl::MutexLock lock(&mutex_);
@@ -134,27 +134,27 @@
 
   void RunUntil(const std::function<bool()>& done) {
     while (!done()) {
-      std::vector<std::function<void()>> taken;
+      std::vector<std::function<void()>> closures;
       {
         absl::MutexLock lock(&mutex_);
-        auto any = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+        auto has_mail = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
           return !mailbox_.empty();
         };
-        mutex_.AwaitWithDeadline(absl::Condition(&any),
+        mutex_.AwaitWithDeadline(absl::Condition(&has_mail),
                                  absl::Now() + absl::Milliseconds(2));
-        taken.swap(mailbox_);
+        closures.swap(mailbox_);
       }
-      for (auto& closure : taken) closure();
+      for (auto& closure : closures) closure();
       timers_.Advance(absl::Now());
     }
   }
 
   CommitResult Commit(Transaction transaction) {
-    std::optional<CommitResult> got;
+    std::optional<CommitResult> received;
     client_.Commit(std::move(transaction),
-                   [&](CommitResult result) { got = std::move(result); });
-    RunUntil([&] { return got.has_value(); });
-    return *got;
+                   [&](CommitResult result) { received = std::move(result); });
+    RunUntil([&] { return received.has_value(); });
+    return *received;
   }
 
  private:
@@ -171,7 +171,7 @@
 
 BOOST_AUTO_TEST_CASE(GroupsCommitsAndScansPageByPage) {
   FakePlatform platform;
-  Control control(platform.address());
+  ControlThread control(platform.address());
   int done = 0;
   for (const char* key : {"a", "b", "c", "d", "e"}) {
     control.client().Commit(Insert(key), [&](const CommitResult& result) {
@@ -181,7 +181,8 @@
   control.RunUntil([&] { return done == 5; });
   BOOST_TEST(platform.commits() == 1);
   std::optional<ReadResult> rows;
-  control.client().Scan("", [&](ReadResult got) { rows = std::move(got); });
+  control.client().Scan(
+      "", [&](ReadResult received) { rows = std::move(received); });
   control.RunUntil([&] { return rows.has_value(); });
   BOOST_REQUIRE(rows->ok());
   BOOST_TEST(rows->value().size() == 5u);
@@ -190,9 +191,9 @@
 // The write took effect and its answer was lost on the way. Sent again under a
 // new token it would meet its own row as a conflict, and the caller would be
 // refused although it holds the claim.
-BOOST_AUTO_TEST_CASE(ALostAnswerIsFollowedUpUnderTheSameToken) {
+BOOST_AUTO_TEST_CASE(LostAnswerIsRetriedWithTheSameToken) {
   FakePlatform platform;
-  Control control(platform.address());
+  ControlThread control(platform.address());
   platform.LoseAnswers(1);
   CommitResult result = control.Commit(Insert("a"));
   BOOST_TEST((result.state == CommitState::kCommitted));
@@ -203,9 +204,9 @@
 // Every answer is lost until the retries are used up. The client must not claim
 // that nothing was written, since a caller would then be told "not run" and
 // another host could find a row that nobody closes.
-BOOST_AUTO_TEST_CASE(DoubtIsReportedAsUnknown) {
+BOOST_AUTO_TEST_CASE(LostAnswersAreReportedAsUnknown) {
   FakePlatform platform;
-  Control control(platform.address());
+  ControlThread control(platform.address());
   platform.LoseAnswers(1000);
   CommitResult result = control.Commit(Insert("a", "token"));
   BOOST_TEST((result.state == CommitState::kUnknown));
@@ -213,9 +214,9 @@
 
 // The platform goes out for a while. Everybody who asks is told that nothing
 // was written, and afterwards the host goes back to work by itself.
-BOOST_AUTO_TEST_CASE(AnOutageIsCertainAndEnds) {
+BOOST_AUTO_TEST_CASE(OutageReportsNotAppliedAndRecovers) {
   FakePlatform platform;
-  Control control(platform.address());
+  ControlThread control(platform.address());
   std::vector<bool> states;
   control.client().OnStateChange([&](bool up) { states.push_back(up); });
   platform.SetDown(true);
--- a/src/store/fallback_table.h
+++ b/src/store/fallback_table.h
@@ -21,42 +21,42 @@
 // Only what certainly took no effect goes the second way: after a lost answer
 // the caller reads its rows back. A peer answers what comes to it by its own
 // first way, never by a third host.
-template <TableService First, TableService Second>
+template <TableService Primary, TableService Fallback>
 class FallbackTable {
  public:
   // Both outlive this object and every call.
-  FallbackTable(First* first, Second* second)
-      : first_(first), second_(second) {}
+  FallbackTable(Primary* primary, Fallback* fallback)
+      : primary_(primary), fallback_(fallback) {}
 
   void Commit(Transaction transaction, std::function<void(CommitResult)> done) {
-    auto answered = [this, transaction,
-                     done = std::move(done)](CommitResult result) {
+    auto on_result = [this, transaction,
+                      done = std::move(done)](CommitResult result) {
       if (result.state != CommitState::kNotApplied) return done(result);
-      second_->Commit(transaction, done);
+      fallback_->Commit(transaction, done);
     };
-    first_->Commit(std::move(transaction), std::move(answered));
+    primary_->Commit(std::move(transaction), std::move(on_result));
   }
 
   void Read(std::vector<std::string> keys,
             std::function<void(ReadResult)> done) {
-    auto answered = [this, keys, done = std::move(done)](ReadResult result) {
+    auto on_result = [this, keys, done = std::move(done)](ReadResult result) {
       if (result.ok()) return done(std::move(result));
-      second_->Read(keys, done);
+      fallback_->Read(keys, done);
     };
-    first_->Read(std::move(keys), std::move(answered));
+    primary_->Read(std::move(keys), std::move(on_result));
   }
 
   void Scan(std::string prefix, std::function<void(ReadResult)> done) {
-    auto answered = [this, prefix, done = std::move(done)](ReadResult result) {
+    auto on_result = [this, prefix, done = std::move(done)](ReadResult result) {
       if (result.ok()) return done(std::move(result));
-      second_->Scan(prefix, done);
+      fallback_->Scan(prefix, done);
     };
-    first_->Scan(std::move(prefix), std::move(answered));
+    primary_->Scan(std::move(prefix), std::move(on_result));
   }
 
  private:
-  First* first_;
-  Second* second_;
+  Primary* primary_;
+  Fallback* fallback_;
 };
 
 }  // namespace gentianlb::store
--- a/src/store/policy_test.cc
+++ b/src/store/policy_test.cc
@@ -18,7 +18,7 @@
 // The platform goes out. Callers that wait for each timeout would learn of the
 // outage seconds late; with the breaker open they are told at once, and one
 // call a second finds out when it is over.
-BOOST_AUTO_TEST_CASE(AnOutageIsAnsweredAtOnceAndItsEndIsNoticed) {
+BOOST_AUTO_TEST_CASE(BreakerRejectsDuringOutageAndDetectsRecovery) {
   CallGate gate(GateOptions{});
   for (int i = 0; i < 5; ++i) {
     BOOST_TEST((gate.TryStart(CallKind::kRead, At(i)) == GateState::kOpen));
@@ -42,7 +42,7 @@
   for (int host = 0; host < kHosts; ++host) {
     RateShare share(300, absl::Seconds(1));
     share.SetHosts(kHosts);
-    for (int ms = 0; ms < 10000; ++ms) sent += share.Take(At(ms / 1000.0));
+    for (int ms = 0; ms < 10000; ++ms) sent += share.TryTake(At(ms / 1000.0));
   }
   BOOST_TEST(sent <= 300 * 10 + kHosts);
   BOOST_TEST(sent >= 300 * 10 - kHosts);
@@ -73,8 +73,8 @@
   for (MemberId id = 1; id <= 50; ++id) {
     group.Add(id, Insert("row" + std::to_string(id)), At(0));
   }
-  BOOST_TEST(!group.Take(At(0.002)).has_value());
-  auto batch = group.Take(At(0.003));
+  BOOST_TEST(!group.TakeBatch(At(0.002)).has_value());
+  auto batch = group.TakeBatch(At(0.003));
   BOOST_REQUIRE(batch.has_value());
   BOOST_TEST(batch->members.size() == 50u);
   BOOST_TEST(batch->transaction.writes.size() == 50u);
@@ -84,16 +84,16 @@
 // A caller sends one key twice, and the second claim meets the first one's row.
 // Without taking the group apart, all requests that happened to travel with it
 // would fail as well.
-BOOST_AUTO_TEST_CASE(OneConflictDoesNotFailItsNeighbours) {
+BOOST_AUTO_TEST_CASE(OneConflictDoesNotFailOtherMembers) {
   TransactionGroup group(GroupOptions{});
   group.Add(1, Insert("a"), At(0));
   group.Add(2, Insert("b"), At(0));
   group.Add(3, Insert("c"), At(0));
-  auto settled =
-      group.OnResult(*group.Take(At(1)), {CommitState::kConflict, {"b"}, {}});
-  BOOST_REQUIRE(settled.size() == 1u);
-  BOOST_TEST(settled[0].id == 2u);
-  auto again = group.Take(At(1));
+  auto finished = group.OnResult(*group.TakeBatch(At(1)),
+                                 {CommitState::kConflict, {"b"}, {}});
+  BOOST_REQUIRE(finished.size() == 1u);
+  BOOST_TEST(finished[0].id == 2u);
+  auto again = group.TakeBatch(At(1));
   BOOST_REQUIRE(again.has_value());
   BOOST_TEST(again->members.size() == 2u);
   auto rest = group.OnResult(
@@ -104,12 +104,12 @@
 
 // A close and a new claim of one row come together. In one transaction they
 // would have no order, and the claim might be deleted.
-BOOST_AUTO_TEST_CASE(TwoWritesOfOneRowTravelOneAfterTheOther) {
+BOOST_AUTO_TEST_CASE(WritesOfOneRowGoIntoSeparateBatches) {
   TransactionGroup group(GroupOptions{});
   group.Add(1, Insert("a"), At(0));
   group.Add(2, Insert("a"), At(0));
-  BOOST_TEST(group.Take(At(1))->members.size() == 1u);
-  BOOST_TEST(group.Take(At(1))->members.size() == 1u);
+  BOOST_TEST(group.TakeBatch(At(1))->members.size() == 1u);
+  BOOST_TEST(group.TakeBatch(At(1))->members.size() == 1u);
 }
 
 // Answers every call in the same way, and counts them.
@@ -137,17 +137,17 @@
 // A zone has lost the platform and its peers haven't. What certainly took no
 // effect goes through a peer; a lost answer must not, since the caller would
 // take the peer's conflict with its own row for somebody else's claim.
-BOOST_AUTO_TEST_CASE(OnlyWhatTookNoEffectGoesThroughAPeer) {
+BOOST_AUTO_TEST_CASE(OnlyUnappliedCallsUseTheFallback) {
   for (CommitState state : {CommitState::kCommitted, CommitState::kConflict,
                             CommitState::kNotApplied, CommitState::kUnknown}) {
     FixedTable own{state};
     FixedTable peer;
     FallbackTable<FixedTable, FixedTable> table(&own, &peer);
-    CommitState got = CommitState::kUnknown;
-    table.Commit(Insert("a"), [&](auto result) { got = result.state; });
+    CommitState received = CommitState::kUnknown;
+    table.Commit(Insert("a"), [&](auto result) { received = result.state; });
     bool relayed = state == CommitState::kNotApplied;
     BOOST_TEST(peer.calls == (relayed ? 1 : 0));
-    BOOST_TEST((got == (relayed ? CommitState::kCommitted : state)));
+    BOOST_TEST((received == (relayed ? CommitState::kCommitted : state)));
   }
   FixedTable own{CommitState::kNotApplied};
   FixedTable peer;
--- a/src/store/rate_share.h
+++ b/src/store/rate_share.h
@@ -22,7 +22,7 @@
   void SetHosts(int hosts) { hosts_ = hosts < 1 ? 1 : hosts; }
 
   // Takes one call's worth; false when the share is used up.
-  bool Take(absl::Time now);
+  bool TryTake(absl::Time now);
 
   // When Take() next succeeds.
   absl::Time NextAt(absl::Time now) const;
@@ -30,13 +30,13 @@
   double rate() const { return service_rate_ / hosts_; }
 
  private:
-  double Saved(absl::Time now) const;
+  double AvailableTokens(absl::Time now) const;
 
   double service_rate_;
   absl::Duration burst_;
   int hosts_ = 1;
-  double saved_ = 1;
-  absl::Time last_ = absl::InfinitePast();
+  double tokens_ = 1;
+  absl::Time updated_at_ = absl::InfinitePast();
 };
 
 }  // namespace gentianlb::store
--- a/src/store/transaction_group.cc
+++ b/src/store/transaction_group.cc
@@ -22,26 +22,26 @@
   });
 }
 
-void Join(const Transaction& member, Transaction* whole) {
-  whole->conditions.insert(whole->conditions.end(), member.conditions.begin(),
-                           member.conditions.end());
-  whole->writes.insert(whole->writes.end(), member.writes.begin(),
-                       member.writes.end());
+void Append(const Transaction& member, Transaction* merged) {
+  merged->conditions.insert(merged->conditions.end(), member.conditions.begin(),
+                            member.conditions.end());
+  merged->writes.insert(merged->writes.end(), member.writes.begin(),
+                        member.writes.end());
 }
 
 // The part of a batch's answer that concerns one member.
-CommitResult PartOf(const CommitResult& result, const Transaction& member) {
+CommitResult ResultFor(const CommitResult& result, const Transaction& member) {
   std::vector<std::string> keys = KeysOf(member);
-  auto ours = [&](const std::string& key) {
+  auto is_member_key = [&](const std::string& key) {
     return std::find(keys.begin(), keys.end(), key) != keys.end();
   };
-  CommitResult part{result.state, {}, {}};
+  CommitResult own_result{result.state, {}, {}};
   std::copy_if(result.conflicts.begin(), result.conflicts.end(),
-               std::back_inserter(part.conflicts), ours);
+               std::back_inserter(own_result.conflicts), is_member_key);
   std::copy_if(result.versions.begin(), result.versions.end(),
-               std::back_inserter(part.versions),
-               [&](const Row& row) { return ours(row.key); });
-  return part;
+               std::back_inserter(own_result.versions),
+               [&](const Row& row) { return is_member_key(row.key); });
+  return own_result;
 }
 
 }  // namespace
@@ -57,11 +57,11 @@
   return waiting_.front().added + options_.window;
 }
 
-std::optional<Batch> TransactionGroup::Take(absl::Time now) {
+std::optional<Batch> TransactionGroup::TakeBatch(absl::Time now) {
   if (waiting_.empty() || now < NextDue()) return std::nullopt;
   Batch batch;
   absl::flat_hash_set<std::string> taken;
-  std::deque<GroupMember> left;
+  std::deque<GroupMember> remaining;
   for (GroupMember& member : waiting_) {
     std::vector<std::string> keys = KeysOf(member.transaction);
     bool fits =
@@ -69,44 +69,44 @@
         batch.transaction.writes.size() + member.transaction.writes.size() <=
             options_.max_rows;
     // Two writes of one row in one transaction have no order; the later waits.
-    bool free = !Overlaps(keys, taken);
+    bool disjoint = !Overlaps(keys, taken);
     taken.insert(keys.begin(), keys.end());
-    if (!fits || !free) {
-      left.push_back(std::move(member));
+    if (!fits || !disjoint) {
+      remaining.push_back(std::move(member));
       continue;
     }
-    Join(member.transaction, &batch.transaction);
+    Append(member.transaction, &batch.transaction);
     batch.members.push_back(std::move(member));
   }
-  waiting_ = std::move(left);
+  waiting_ = std::move(remaining);
   return batch;
 }
 
-std::vector<Settled> TransactionGroup::OnResult(Batch batch,
-                                                const CommitResult& result) {
-  std::vector<Settled> settled;
-  std::vector<GroupMember> again;
+std::vector<MemberResult> TransactionGroup::OnResult(
+    Batch batch, const CommitResult& result) {
+  std::vector<MemberResult> finished;
+  std::vector<GroupMember> retried;
   for (GroupMember& member : batch.members) {
-    CommitResult part = PartOf(result, member.transaction);
-    bool innocent =
-        result.state == CommitState::kConflict && part.conflicts.empty();
+    CommitResult own_result = ResultFor(result, member.transaction);
+    bool unaffected =
+        result.state == CommitState::kConflict && own_result.conflicts.empty();
     // A conflict that names no row of the batch blames everybody; without this
     // the same batch would go round for ever.
-    if (innocent && !result.conflicts.empty()) {
-      again.push_back(std::move(member));
+    if (unaffected && !result.conflicts.empty()) {
+      retried.push_back(std::move(member));
     } else {
-      settled.push_back({member.id, std::move(part)});
+      finished.push_back({member.id, std::move(own_result)});
     }
   }
-  if (settled.empty()) {
-    for (GroupMember& member : again) {
-      settled.push_back({member.id, {CommitState::kConflict, {}, {}}});
+  if (finished.empty()) {
+    for (GroupMember& member : retried) {
+      finished.push_back({member.id, {CommitState::kConflict, {}, {}}});
     }
-    return settled;
+    return finished;
   }
-  waiting_.insert(waiting_.begin(), std::make_move_iterator(again.begin()),
-                  std::make_move_iterator(again.end()));
-  return settled;
+  waiting_.insert(waiting_.begin(), std::make_move_iterator(retried.begin()),
+                  std::make_move_iterator(retried.end()));
+  return finished;
 }
 
 }  // namespace gentianlb::store
--- a/src/store/transaction_group.h
+++ b/src/store/transaction_group.h
@@ -43,10 +43,10 @@
 };
 
 // A member whose outcome is known.
-struct Settled {
+struct MemberResult {
   MemberId id = 0;
   CommitResult result;
-  bool operator==(const Settled&) const = default;
+  bool operator==(const MemberResult&) const = default;
 };
 
 // The table takes several hundred transactions a second from all hosts
@@ -60,12 +60,12 @@
   void Add(MemberId id, Transaction transaction, absl::Time now);
 
   // The next batch, when the window of its oldest member is over or it is full.
-  std::optional<Batch> Take(absl::Time now);
+  std::optional<Batch> TakeBatch(absl::Time now);
 
   // Who is settled by the answer to `batch`. Members that failed only because
   // they travelled with another whose condition did not hold go into the next
   // batch at once.
-  std::vector<Settled> OnResult(Batch batch, const CommitResult& result);
+  std::vector<MemberResult> OnResult(Batch batch, const CommitResult& result);
 
   // When Take() has something; InfiniteFuture() when nothing waits.
   absl::Time NextDue() const;
--- a/src/store/wire.cc
+++ b/src/store/wire.cc
@@ -36,9 +36,9 @@
 }
 
 Result<Row> DecodeRow(const Json::Value& json) {
-  bool whole =
+  bool valid =
       json.isObject() && json["key"].isString() && json["version"].isUInt64();
-  if (!whole) return Fail(Code::kBadPlatformAnswer, "row");
+  if (!valid) return Fail(Code::kBadPlatformAnswer, "row");
   Row row{json["key"].asString(), "", json["version"].asUInt64()};
   if (json["value"].isString()) row.value = json["value"].asString();
   return row;
@@ -66,10 +66,10 @@
 }
 
 Result<ListedHost> DecodeHost(const Json::Value& json) {
-  bool whole = json.isObject() && json["id"].isString() &&
+  bool valid = json.isObject() && json["id"].isString() &&
                json["kind"].isString() && json["zone"].isString() &&
                json["address"].isString() && json["state"].isString();
-  if (!whole) return Fail(Code::kBadPlatformAnswer, "host");
+  if (!valid) return Fail(Code::kBadPlatformAnswer, "host");
   return ListedHost{json["id"].asString(), json["kind"].asString() == "entry",
                     ZoneId(json["zone"].asString()), json["address"].asString(),
                     json["state"].asString() == "leaving"};
--- a/tests/claims/claim_groups.cc
+++ b/tests/claims/claim_groups.cc
@@ -52,9 +52,9 @@
       group.Add(id, {"", {{key, 0}}, {{key, ""}}}, start + absl::Seconds(next));
       next += gap(random);
     }
-    if (group.NextDue() > now || !share.Take(now)) continue;
+    if (group.NextDue() > now || !share.TryTake(now)) continue;
     ++commits;
-    Batch batch = *group.Take(now);
+    Batch batch = *group.TakeBatch(now);
     for (const GroupMember& member : batch.members) {
       waits.push_back(absl::ToDoubleMilliseconds(now - member.added));
     }
