--- a/src/store/breaker.h
+++ b/src/store/breaker.h
@@ -1,5 +1,4 @@
-// A circuit breaker: decides whether a call to a failing service is worth
-// sending.
+// Circuit breaker for calls to a failing service.
 
 #ifndef GENTIANLB_STORE_BREAKER_H_
 #define GENTIANLB_STORE_BREAKER_H_
@@ -12,34 +11,33 @@
 namespace gentianlb::store {
 
 struct BreakerOptions {
-  // One lost answer is ordinary; five failures without any success between
-  // them are an outage, and are seen within half a second at ten calls a
-  // second.
+  // Consecutive failures that count as an outage. A single lost answer is
+  // normal. At ten calls a second, five failures take half a second.
   int failures_to_open = 5;
-  // A caller waits this long at most until a returned service is noticed.
+  // Interval of the probes: the maximum delay until a recovery is detected.
   absl::Duration open_time = absl::Seconds(1);
   bool operator==(const BreakerOptions&) const = default;
 };
 
-// In an outage every call would wait for its timeout: queues fill, and whoever
-// waits for a claim learns too late that it can't get one. One would notice
-// refusals that come only after seconds. The breaker answers at once, and lets
-// a single call through now and then to find out when the service is back.
+// Rejects calls at once during an outage and admits a single probe call per
+// open_time to detect the recovery. Without it every call would wait for its
+// timeout: queues fill, and requests are refused only after seconds.
 class Breaker {
  public:
   explicit Breaker(BreakerOptions options) : options_(options) {}
 
-  // Whether a call may be sent now. A call that is let through must be followed
-  // by OnSuccess(), OnFailure() or OnNothing().
+  // Returns whether a call may be sent now. An admitted call must be followed
+  // by OnSuccess(), OnFailure() or OnInconclusive().
   bool Allow(absl::Time now);
 
   void OnSuccess();
   void OnFailure(absl::Time now);
-  // The call told nothing about the service, such as a refusal for its rate.
+  // The result says nothing about the service's health, for example a refusal
+  // by its rate limit.
   void OnInconclusive() { probing_ = false; }
 
   bool up() const { return failures_ < options_.failures_to_open; }
-  // When Allow() may next say yes, while it says no.
+  // While Allow() returns false: the time from which it may return true.
   absl::Time RetryAt() const { return retry_at_; }
   std::uint64_t times_opened() const { return times_opened_; }
 
--- a/src/store/call_gate.cc
+++ b/src/store/call_gate.cc
@@ -17,7 +17,7 @@
 GateState CallGate::TryStart(CallKind kind, absl::Time now) {
   if (in_flight_ >= options_.max_in_flight) return GateState::kWait;
   if (ShareFor(kind).NextAt(now) > now) return GateState::kWait;
-  // Asked last: the breaker counts whom it lets through.
+  // Last check, since the breaker registers each call that it admits.
   if (!breaker_.Allow(now)) return GateState::kDown;
   ShareFor(kind).TryTake(now);
   ++in_flight_;
@@ -39,7 +39,7 @@
       budget_.OnCall();
       return std::nullopt;
     case AnswerKind::kRateLimited:
-      // Somebody takes more than its share; the service itself is well.
+      // Some host exceeds its share, but the service is up.
       breaker_.OnInconclusive();
       ++counters_.rate_limited;
       break;
--- a/src/store/call_gate.h
+++ b/src/store/call_gate.h
@@ -1,6 +1,6 @@
-// When a call to the platform may be sent, and what a failed one does next: the
-// breaker, the rate shares, the retry budget and the bound of calls in flight
-// taken together. No network, thread or clock.
+// Decides when a call to the platform may be sent and when a failed call is
+// retried. Combines the breaker, the rate shares, the retry budget and the
+// limit of calls in flight. Uses no network, thread or clock.
 
 #ifndef GENTIANLB_STORE_CALL_GATE_H_
 #define GENTIANLB_STORE_CALL_GATE_H_
@@ -17,14 +17,14 @@
 namespace gentianlb::store {
 
 struct GateOptions {
-  // Of the service, for all hosts together. "Several hundred writes and about
-  // two thousand reads a second" is read as 300 and 2,000.
+  // Rate limits of the service for all hosts together. The platform states them
+  // as several hundred writes and about two thousand reads a second.
   double writes_per_second = 300;
   double reads_per_second = 2000;
-  // What a quiet host may save up: enough for the few calls of one burst.
+  // An idle host keeps its unused share of this time for a burst of calls.
   absl::Duration burst = absl::Seconds(1);
-  // A slow service must not collect calls without end; at 5 ms a call this
-  // still carries some thousand calls a second.
+  // Bounds the calls at a slow service. At 5 ms a call, 16 calls in flight
+  // allow about three thousand calls a second.
   int max_in_flight = 16;
   BreakerOptions breaker;
   RetryOptions retry;
@@ -33,12 +33,12 @@
 
 enum class CallKind { kRead, kWrite };
 
-// What came back from one sending of a call.
+// Result of one attempt of a call.
 enum class AnswerKind {
-  kAnswered,     // The service decided.
-  kNotApplied,   // Certain: it took no effect (503, or never sent).
-  kRateLimited,  // Certain too (429): the service is up but busy.
-  kLost,         // No answer: it may have taken effect.
+  kAnswered,     // The service processed the call.
+  kNotApplied,   // Certainly took no effect (503, or never sent).
+  kRateLimited,  // Certainly took no effect (429); the service is up.
+  kLost,         // No answer: the call may have taken effect.
 };
 
 enum class GateState { kOpen, kWait, kDown };
@@ -52,21 +52,26 @@
   auto operator<=>(const GateCounters&) const = default;
 };
 
+// Admits the calls of one host to the platform.
 class CallGate {
  public:
   explicit CallGate(GateOptions options);
 
+  // Sets the number of hosts that share the service, this one included.
   void SetHosts(int hosts);
 
-  // Takes the room for one sending when the answer is kOpen; OnAnswer() must
-  // follow. kDown: the service is out; fail at once.
+  // Reserves a slot for one attempt and returns kOpen, or returns kWait, or
+  // kDown when the service is down and the call must fail at once. OnAnswer()
+  // must follow kOpen.
   GateState TryStart(CallKind kind, absl::Time now);
 
-  // When TryStart() is worth another try after kWait, if only time is missing.
+  // Returns when the rate share next admits a call, or InfiniteFuture() while
+  // too many calls are in flight.
   absl::Time NextAt(CallKind kind, absl::Time now) const;
 
-  // Frees the room. The time at which to send the same call again, or nothing
-  // when it is to fail. `retries` counts those before; `random` is in [0, 1).
+  // Frees the slot. Returns when to send the same call again, or nothing if the
+  // call is done or must fail. `retries` is the number of earlier retries;
+  // `random` is in [0, 1).
   std::optional<absl::Time> OnAnswer(AnswerKind answer, int retries,
                                      absl::Time now, double random);
 
--- a/src/store/rate_share.cc
+++ b/src/store/rate_share.cc
@@ -5,7 +5,7 @@
 namespace gentianlb::store {
 
 double RateShare::AvailableTokens(absl::Time now) const {
-  // One whole call must fit, however small the share is.
+  // The bucket holds at least one call, even for a very small share.
   double max_tokens = std::max(1.0, rate() * absl::ToDoubleSeconds(burst_));
   if (updated_at_ == absl::InfinitePast()) return 1;
   double earned =
@@ -25,7 +25,7 @@
 absl::Time RateShare::NextAt(absl::Time now) const {
   double missing = 1 - AvailableTokens(now);
   if (missing <= 0) return now;
-  // A microsecond more, so that rounding never wakes too early.
+  // One microsecond more, so that rounding does not give a time too early.
   return now + absl::Seconds(missing / rate()) + absl::Microseconds(1);
 }
 
--- a/src/store/rate_share.h
+++ b/src/store/rate_share.h
@@ -7,24 +7,24 @@
 
 namespace gentianlb::store {
 
-// After a restart of all hosts each reads its whole picture anew. Together they
-// would exceed the service's rate and be refused for as long as they all try;
-// one would notice hosts that never become ready. With a share each, the sum
-// stays under the limit whatever the hosts do.
+// Limits a host to its share of the service's rate, so that all hosts together
+// stay within the limit. Without it, a restart of all hosts exceeds the limit
+// while each reads all its state: the service refuses them, and hosts do not
+// become ready.
 class RateShare {
  public:
-  // `service_rate` calls a second are for all hosts together. A host may save
-  // up `burst` of its own share.
+  // `service_rate` is in calls per second for all hosts together. A host may
+  // accumulate its share over the time `burst`.
   RateShare(double service_rate, absl::Duration burst)
       : service_rate_(service_rate), burst_(burst) {}
 
-  // How many hosts share the service, this one included.
+  // Sets the number of hosts that share the service, this one included.
   void SetHosts(int hosts) { hosts_ = hosts < 1 ? 1 : hosts; }
 
-  // Takes one call's worth; false when the share is used up.
+  // Takes one call from the share. Returns false when the share is used up.
   bool TryTake(absl::Time now);
 
-  // When Take() next succeeds.
+  // Returns when TryTake() next succeeds.
   absl::Time NextAt(absl::Time now) const;
 
   double rate() const { return service_rate_ / hosts_; }
