--- a/src/store/fallback_table.h
+++ b/src/store/fallback_table.h
@@ -1,5 +1,5 @@
-// A table service that asks a second way when the first is certainly out of
-// reach: the platform itself, and then a peer that still reaches it.
+// Table service with a fallback path: calls go to the platform, and to a peer
+// that still reaches it if they certainly took no effect there.
 
 #ifndef GENTIANLB_STORE_FALLBACK_TABLE_H_
 #define GENTIANLB_STORE_FALLBACK_TABLE_H_
@@ -13,14 +13,13 @@
 
 namespace gentianlb::store {
 
-// A zone that is cut off from the platform, but not from the other zones, would
-// refuse all that needs a row, for as long as the cut lasts. One would notice
-// that its callers get 4002 while everybody else is served. The rows are the
-// same whoever carries the transaction, so nothing is decided differently.
+// Keeps a zone working that is partitioned from the platform but not from the
+// other zones. Without it the zone's callers would get 4002 for every request
+// that needs a row. The rows are the same on both paths, so decisions are too.
 //
-// Only what certainly took no effect goes the second way: after a lost answer
-// the caller reads its rows back. A peer answers what comes to it by its own
-// first way, never by a third host.
+// Only calls that certainly took no effect use the fallback: after a lost
+// answer the caller reads its rows back. A peer serves relayed calls by its own
+// primary path, never through a third host.
 template <TableService Primary, TableService Fallback>
 class FallbackTable {
  public:
--- a/src/store/messages.h
+++ b/src/store/messages.h
@@ -1,5 +1,5 @@
-// The platform's services as the system sees them; the wire form stands in
-// docs/PROTOCOLS.md.
+// Types of the platform's table service. docs/PROTOCOLS.md describes their wire
+// format.
 
 #ifndef GENTIANLB_STORE_MESSAGES_H_
 #define GENTIANLB_STORE_MESSAGES_H_
@@ -15,7 +15,7 @@
 
 namespace gentianlb::store {
 
-// Counts the changes of one row; 0 means that there is no such row.
+// Number of changes of one row; 0 means that the row does not exist.
 using RowVersion = std::uint64_t;
 
 struct Row {
@@ -25,7 +25,7 @@
   bool operator==(const Row&) const = default;
 };
 
-// Holds when the row's version is exactly this one.
+// Holds when the row's version equals `version`.
 struct Condition {
   std::string key;
   RowVersion version = 0;
@@ -39,9 +39,9 @@
   bool operator==(const Write&) const = default;
 };
 
-// All conditions hold and all writes take effect, or nothing does. The platform
-// remembers `token`: the same transaction sent again takes effect once and gets
-// the first answer.
+// If all conditions hold, all writes take effect; otherwise none does. The
+// platform remembers `token`: a transaction that is sent again takes effect
+// only once and gets the first answer again.
 struct Transaction {
   std::string token;
   std::vector<Condition> conditions;
@@ -52,22 +52,22 @@
 enum class CommitState {
   kCommitted,
   kConflict,    // A condition did not hold; nothing was written.
-  kNotApplied,  // Certain: refused before it took effect (rate, outage).
+  kNotApplied,  // Certainly took no effect (rate limit, outage).
   kUnknown,     // The answer was lost; it may have taken effect.
 };
 
 struct CommitResult {
   CommitState state = CommitState::kUnknown;
-  std::vector<std::string> conflicts;  // The rows whose conditions failed.
-  std::vector<Row> versions;           // Of the written rows, values empty.
+  std::vector<std::string> conflicts;  // Keys of the failed conditions.
+  std::vector<Row> versions;           // Written rows, without values.
   bool operator==(const CommitResult&) const = default;
 };
 
-// Rows that exist, in the order of their keys.
+// The rows that exist, ordered by key.
 using ReadResult = Outcome<std::vector<Row>>;
 
-// What the decision modules need of the table service; fulfilled by Client and
-// by the tests' fakes. Each call answers once, later, on the control thread.
+// Interface of the table service; implemented by Client and by the tests'
+// fakes. Each call calls back once, later, on the control thread.
 template <typename T>
 concept TableService = requires(T table, Transaction transaction,
                                 std::vector<std::string> keys,
--- a/src/store/transaction_group.cc
+++ b/src/store/transaction_group.cc
@@ -29,7 +29,7 @@
                         member.writes.end());
 }
 
-// The part of a batch's answer that concerns one member.
+// Returns the part of a batch's result that concerns `member`.
 CommitResult ResultFor(const CommitResult& result, const Transaction& member) {
   std::vector<std::string> keys = KeysOf(member);
   auto is_member_key = [&](const std::string& key) {
@@ -68,7 +68,8 @@
         batch.members.empty() ||
         batch.transaction.writes.size() + member.transaction.writes.size() <=
             options_.max_rows;
-    // Two writes of one row in one transaction have no order; the later waits.
+    // Writes of one row within a transaction have no order, so a later member
+    // with the same row waits for the next batch.
     bool disjoint = !Overlaps(keys, taken);
     taken.insert(keys.begin(), keys.end());
     if (!fits || !disjoint) {
@@ -90,8 +91,8 @@
     CommitResult own_result = ResultFor(result, member.transaction);
     bool unaffected =
         result.state == CommitState::kConflict && own_result.conflicts.empty();
-    // A conflict that names no row of the batch blames everybody; without this
-    // the same batch would go round for ever.
+    // A conflict that names no row of the batch applies to all members, since a
+    // retry would repeat the same batch forever.
     if (unaffected && !result.conflicts.empty()) {
       retried.push_back(std::move(member));
     } else {
--- a/src/store/transaction_group.h
+++ b/src/store/transaction_group.h
@@ -1,5 +1,5 @@
-// Joins small independent transactions into one, and takes the answer apart
-// again.
+// Combines small independent transactions into one, and splits its result into
+// the results of its members.
 
 #ifndef GENTIANLB_STORE_TRANSACTION_GROUP_H_
 #define GENTIANLB_STORE_TRANSACTION_GROUP_H_
@@ -17,14 +17,15 @@
 
 namespace gentianlb::store {
 
-// Names one transaction given to a group.
+// Identifies one transaction of a group.
 using MemberId = std::uint64_t;
 
 struct GroupOptions {
-  // Short against a first token (hundreds of milliseconds), and long enough to
-  // join what a burst brings.
+  // Short compared with the time to a first token (hundreds of milliseconds),
+  // but long enough to combine the transactions of a burst.
   absl::Duration window = absl::Milliseconds(3);
-  // Below the table's 500 rows, so that a member with several rows still fits.
+  // The table accepts 500 rows. The margin leaves space for a member with
+  // several rows.
   std::size_t max_rows = 400;
   bool operator==(const GroupOptions&) const = default;
 };
@@ -36,38 +37,40 @@
   bool operator==(const GroupMember&) const = default;
 };
 
-// Members that travel together; their rows are disjoint.
+// Members that are committed together. Their rows are disjoint.
 struct Batch {
   std::vector<GroupMember> members;
-  Transaction transaction;  // Without a token; the sender gives one.
+  Transaction transaction;  // The sender sets its token.
 };
 
-// A member whose outcome is known.
+// Final result of one member.
 struct MemberResult {
   MemberId id = 0;
   CommitResult result;
   bool operator==(const MemberResult&) const = default;
 };
 
-// The table takes several hundred transactions a second from all hosts
-// together. A claim per request as a transaction of its own would exceed that
-// in a burst, and one would notice requests that wait for their claim while
-// servers are idle.
+// Groups the waiting transactions of one host into batches. The table accepts
+// several hundred transactions a second from all hosts together. A burst with
+// one transaction per claim would exceed that, and requests would wait for
+// their claims while servers are idle.
 class TransactionGroup {
  public:
   explicit TransactionGroup(GroupOptions options) : options_(options) {}
 
   void Add(MemberId id, Transaction transaction, absl::Time now);
 
-  // The next batch, when the window of its oldest member is over or it is full.
+  // Returns the next batch, if it is full or the window of its oldest member is
+  // over.
   std::optional<Batch> TakeBatch(absl::Time now);
 
-  // Who is settled by the answer to `batch`. Members that failed only because
-  // they travelled with another whose condition did not hold go into the next
-  // batch at once.
+  // Returns the members with a final result. Members that failed only because
+  // of another member's condition go to the front of the queue for the next
+  // batch.
   std::vector<MemberResult> OnResult(Batch batch, const CommitResult& result);
 
-  // When Take() has something; InfiniteFuture() when nothing waits.
+  // Returns when TakeBatch() next returns a batch, or InfiniteFuture() when
+  // nothing waits.
   absl::Time NextDue() const;
   std::size_t waiting() const { return waiting_.size(); }
 
--- a/src/store/wire.cc
+++ b/src/store/wire.cc
@@ -7,7 +7,7 @@
 namespace gentianlb::store {
 namespace {
 
-constexpr int kScanLimit = 1000;  // The most that the service gives at once.
+constexpr int kScanLimit = 1000;  // Maximum page size of the service.
 constexpr int kOk = 200;
 
 std::string ToText(const Json::Value& value) {
@@ -28,7 +28,7 @@
   return value;
 }
 
-// The array `name`; a missing or different one fails.
+// Returns the array `name`, or an error if it is missing or not an array.
 Result<Json::Value> ArrayOf(const Json::Value& object, const char* name) {
   const Json::Value& array = object[name];
   if (!array.isArray()) return Fail(Code::kBadPlatformAnswer, name);
--- a/src/store/wire.h
+++ b/src/store/wire.h
@@ -1,4 +1,5 @@
-// The JSON bodies of the platform's services, as docs/PROTOCOLS.md gives them.
+// Encodes and decodes the JSON bodies of the platform's services, as described
+// in docs/PROTOCOLS.md.
 
 #ifndef GENTIANLB_STORE_WIRE_H_
 #define GENTIANLB_STORE_WIRE_H_
@@ -13,17 +14,17 @@
 
 namespace gentianlb::store {
 
-// One line of the platform's list of hosts; the list lags.
+// Entry of the platform's list of hosts. The list may be out of date.
 struct ListedHost {
   std::string id;
-  bool is_entry_host = false;  // Else a backend server.
+  bool is_entry_host = false;  // False: a backend server.
   ZoneId zone;
   std::string address;
   bool leaving = false;
   bool operator==(const ListedHost&) const = default;
 };
 
-// Some rows of a scan, and whether there are more after them.
+// One page of a scan; `more` says whether rows follow it.
 struct ScanPage {
   std::vector<Row> rows;
   bool more = false;
@@ -34,7 +35,7 @@
 std::string EncodeRead(const std::vector<std::string>& keys);
 std::string EncodeScan(std::string_view prefix, std::string_view after);
 
-// Each fails with kBadPlatformAnswer.
+// Each returns kBadPlatformAnswer if the body is invalid.
 Result<CommitResult> DecodeCommit(int status, std::string_view body);
 Result<ScanPage> DecodeRows(std::string_view body);
 Result<std::vector<ListedHost>> DecodeHosts(std::string_view body);
