--- a/src/store/client.cc
+++ b/src/store/client.cc
@@ -17,7 +17,7 @@
 constexpr int kUnavailable = 503;
 constexpr int kServerErrors = 500;
 
-// How a whole call ended, after its retries.
+// Result of a call after its retries.
 struct CallResult {
   AnswerKind kind = AnswerKind::kNotApplied;
   http::Reply reply;
@@ -29,7 +29,7 @@
   std::function<void(CallResult)> done;
   absl::Time deadline;
   int retries = 0;
-  bool maybe_applied = false;  // An earlier sending was lost.
+  bool maybe_applied = false;  // An earlier attempt was lost.
 };
 
 AnswerKind Classify(const http::Reply& reply) {
@@ -37,7 +37,7 @@
   if (reply.end != http::TransferEnd::kComplete) return AnswerKind::kLost;
   if (reply.status == kTooMany) return AnswerKind::kRateLimited;
   if (reply.status == kUnavailable) return AnswerKind::kNotApplied;
-  // Any other fault of the service may have come after the write.
+  // Other errors of the service may occur after the write.
   if (reply.status >= kServerErrors) return AnswerKind::kLost;
   return AnswerKind::kAnswered;
 }
@@ -52,12 +52,12 @@
   }
   auto decoded = Capture(
       [&] { return DecodeCommit(outcome.reply.status, outcome.reply.body); });
-  // An answer that can't be read tells as little as none.
+  // An answer that cannot be decoded counts as lost.
   if (!decoded.ok()) return {CommitState::kUnknown, {}, {}};
   return decoded.value();
 }
 
-// The body of a successful answer, or why there is none.
+// Returns the body of a successful answer, or an error.
 Outcome<std::string> ToBody(CallResult outcome) {
   if (outcome.kind == AnswerKind::kRateLimited) {
     return Error{Code::kPlatformRate, "rate limited"};
@@ -74,7 +74,7 @@
 
 }  // namespace
 
-// Shared with the transfers on their way, which may end after the client.
+// Shared with the transfers in flight, which may outlive the client.
 struct Client::Impl : std::enable_shared_from_this<Impl> {
   Impl(ClientOptions options_in, http::Client* http_in, TimerService* timers_in,
        Post post_in)
@@ -128,7 +128,7 @@
     ProcessQueue(now);
   }
 
-  // Sends what may be sent, and sets the timer for the rest.
+  // Sends the calls that may be sent, and sets the timer for the others.
   void ProcessQueue(absl::Time now) {
     if (closed) return;
     FormBatches(now);
@@ -138,7 +138,7 @@
       waiting.pop_front();
       StartOrQueue(std::move(call), now, &remaining);
     }
-    // A callback may have added calls meanwhile.
+    // A callback may have added calls in the meantime.
     remaining.insert(remaining.end(), std::make_move_iterator(waiting.begin()),
                      std::make_move_iterator(waiting.end()));
     waiting = std::move(remaining);
@@ -146,6 +146,7 @@
     SetTimer(now);
   }
 
+  // Sends the call, appends it to `remaining`, or fails it.
   void StartOrQueue(Call call, absl::Time now, std::deque<Call>* remaining) {
     if (now >= call.deadline) {
       Finish(std::move(call), AnswerKind::kNotApplied, {});
@@ -165,8 +166,8 @@
     }
   }
 
-  // A group is closed only when its commit can leave: while the share is used
-  // up, more transactions join it.
+  // Forms batches and starts their commits. A batch is formed only when its
+  // commit can be sent: until then, more transactions join the group.
   void FormBatches(absl::Time now) {
     while (group.NextDue() <= now &&
            (gate.NextAt(CallKind::kWrite, now) <= now || !gate.up())) {
@@ -203,7 +204,7 @@
     auto shared = std::make_shared<Call>(std::move(call));
     auto self = shared_from_this();
     http->Fetch(std::move(request), [self, shared](http::Reply reply) {
-      // From the client's thread over to the control thread.
+      // Move from the HTTP client's thread to the control thread.
       auto moved = std::make_shared<http::Reply>(std::move(reply));
       self->post([self, shared, moved] {
         if (!self->closed) self->OnReply(std::move(*shared), std::move(*moved));
@@ -221,7 +222,7 @@
     if (kind != AnswerKind::kAnswered && retry_at &&
         *retry_at < call.deadline) {
       ++call.retries;
-      if (lost) ++counters.follow_ups;
+      if (lost) ++counters.token_retries;
       RetryAt(std::move(call), *retry_at);
     } else {
       Finish(std::move(call), kind, std::move(reply));
@@ -239,19 +240,19 @@
   }
 
   void Finish(Call call, AnswerKind kind, http::Reply reply) {
-    // A lost sending stays in doubt until the service has answered, whatever
-    // refused its follow-up: a caller told "not applied" would say "not run" of
-    // a claim that another host then finds in the table.
+    // After a lost attempt the result stays unknown until the service answers,
+    // even if a retry was refused. With kNotApplied the caller would report
+    // "not run" for a claim that another host may find in the table.
     bool in_doubt = call.maybe_applied && kind != AnswerKind::kAnswered;
     if (in_doubt) kind = AnswerKind::kLost;
-    // Later, also when the call failed at once: a caller isn't called back
-    // from within its own call.
+    // Post the callback even if the call failed at once, so that no caller is
+    // called back from within its own call.
     auto outcome =
         std::make_shared<CallResult>(CallResult{kind, std::move(reply)});
     post([self = shared_from_this(), done = std::move(call.done), outcome] {
       if (self->closed) return;
       done(std::move(*outcome));
-      // Members of a group that met a conflict wait to go again.
+      // Members of a group with a conflict may wait for the next batch.
       self->ProcessQueue(absl::Now());
     });
   }
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -1,6 +1,6 @@
-// The client of the platform's table service, object store and host list. It
-// belongs to the control thread; transfers run on the HTTP client's thread, and
-// nothing here blocks.
+// Client of the platform's table service, object store and host list. It is
+// owned by the control thread. Transfers run on the HTTP client's thread, and
+// no call blocks.
 
 #ifndef GENTIANLB_STORE_CLIENT_H_
 #define GENTIANLB_STORE_CLIENT_H_
@@ -25,33 +25,38 @@
 
 struct ClientOptions {
   std::string address;  // IP:PORT of the platform.
-  // Entry host and incarnation: makes the tokens of this client's groups
-  // unique, also after a restart.
+  // Entry host and incarnation. Makes the tokens of this client's groups unique
+  // across restarts.
   std::string host_name;
   GateOptions gate;
   GroupOptions group;
-  // One sending. A healthy answer takes a few milliseconds; after this it is
-  // taken for lost, and the same token is sent again to learn what happened.
+  // Timeout of one attempt. An answer normally takes a few milliseconds. After
+  // the timeout it counts as lost, and the same token is sent again to learn
+  // the result.
   absl::Duration attempt_timeout = absl::Milliseconds(500);
-  // A call with all its retries. Longer than a lost answer and its follow-up,
-  // shorter than the patience of an interactive caller.
+  // Timeout of a call with all its retries. Longer than a lost answer and its
+  // retry, shorter than an interactive caller waits.
   absl::Duration deadline = absl::Seconds(2);
-  // Waiting calls beyond this fail at once, certainly not applied.
+  // Maximum number of waiting calls. Further calls fail at once and are
+  // certainly not applied.
   std::size_t max_waiting = 10000;
 };
 
 struct ClientCounters {
   GateCounters gate;
-  std::uint64_t transactions = 0;  // Commits asked for by callers.
-  std::uint64_t commits = 0;       // Commits made of them.
-  std::uint64_t follow_ups = 0;    // Same token again after a lost answer.
-  std::uint64_t rejected_immediately = 0;  // Down, or too many waiting.
+  std::uint64_t transactions = 0;  // Commits requested by callers.
+  std::uint64_t commits = 0;       // Commits sent for them, grouped.
+  // Retries with the same token after a lost answer.
+  std::uint64_t token_retries = 0;
+  // The platform is down, or too many calls wait.
+  std::uint64_t rejected_immediately = 0;
   auto operator<=>(const ClientCounters&) const = default;
 };
 
-// Fulfils TableService. A transaction without a token may travel in a group
-// with others; after kUnknown its caller reads the rows back. One with a token
-// travels alone, and may be given again with the same token.
+// Implements TableService. A transaction without a token may be committed in a
+// group with others; after kUnknown its caller reads the rows back. A
+// transaction with a token is committed alone, and the caller may submit it
+// again with the same token.
 class Client {
  public:
   // Runs a closure on the control thread.
@@ -60,14 +65,14 @@
   // `http` and `timers` outlive this object.
   Client(ClientOptions options, http::Client* http, TimerService* timers,
          Post post);
-  ~Client();  // Callers that still wait are not called back.
+  ~Client();  // Waiting callers are not called back.
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
   void Commit(Transaction transaction, std::function<void(CommitResult)> done);
   void Read(std::vector<std::string> keys,
             std::function<void(ReadResult)> done);
-  // All rows under `prefix`, page by page.
+  // Reads all rows whose keys start with `prefix`, page by page.
   void Scan(std::string prefix, std::function<void(ReadResult)> done);
 
   void PutObject(std::string_view name, std::string bytes,
@@ -76,10 +81,11 @@
                  std::function<void(Outcome<std::string>)> done);
   void ListHosts(std::function<void(Outcome<std::vector<ListedHost>>)> done);
 
-  // How many entry hosts share the platform's rates, this one included.
+  // Sets the number of entry hosts that share the platform's rate limits, this
+  // one included.
   void SetLiveHosts(int hosts);
 
-  // Called when the platform goes out or comes back.
+  // Sets the callback for an outage or recovery of the platform.
   void OnStateChange(std::function<void(bool up)> callback);
   bool up() const;
   ClientCounters counters() const;
--- a/src/store/client_test.cc
+++ b/src/store/client_test.cc
@@ -12,7 +12,7 @@
 namespace gentianlb::store {
 namespace {
 
-// A table service in memory that can be told to fail.
+// In-memory table service with configurable faults.
 class FakePlatform {
  public:
   FakePlatform() {
@@ -28,7 +28,7 @@
   std::string address() const {
     return "127.0.0.1:" + std::to_string(server_->port());
   }
-  // The next commits take effect, and their answers never arrive.
+  // Drops the answers of the next `count` commits, which still take effect.
   void LoseAnswers(int count) {
     absl::MutexLock lock(&mutex_);
     answers_to_lose_ = count;
@@ -120,7 +120,8 @@
   std::unique_ptr<http::Server> server_;
 };
 
-// A control thread in small: the test's own thread with a mailbox and timers.
+// Runs the control thread's work on the test's thread, with a mailbox and
+// timers.
 class ControlThread {
  public:
   explicit ControlThread(const std::string& address)
@@ -188,9 +189,9 @@
   BOOST_TEST(rows->value().size() == 5u);
 }
 
-// The write took effect and its answer was lost on the way. Sent again under a
-// new token it would meet its own row as a conflict, and the caller would be
-// refused although it holds the claim.
+// A write takes effect and its answer is lost. A retry with a new token would
+// conflict with the write's own row, and the caller would be refused although
+// it holds the claim.
 BOOST_AUTO_TEST_CASE(LostAnswerIsRetriedWithTheSameToken) {
   FakePlatform platform;
   ControlThread control(platform.address());
@@ -198,12 +199,12 @@
   CommitResult result = control.Commit(Insert("a"));
   BOOST_TEST((result.state == CommitState::kCommitted));
   BOOST_TEST(result.versions[0].version == 1u);
-  BOOST_TEST(control.client().counters().follow_ups == 1u);
+  BOOST_TEST(control.client().counters().token_retries == 1u);
 }
 
-// Every answer is lost until the retries are used up. The client must not claim
-// that nothing was written, since a caller would then be told "not run" and
-// another host could find a row that nobody closes.
+// Every answer is lost until the retries are used up. The client must not
+// report that nothing was written: the caller would report "not run", and
+// another host could find a row that is never deleted.
 BOOST_AUTO_TEST_CASE(LostAnswersAreReportedAsUnknown) {
   FakePlatform platform;
   ControlThread control(platform.address());
@@ -212,8 +213,8 @@
   BOOST_TEST((result.state == CommitState::kUnknown));
 }
 
-// The platform goes out for a while. Everybody who asks is told that nothing
-// was written, and afterwards the host goes back to work by itself.
+// The platform has an outage. Every commit must report that nothing was
+// written, and after the recovery commits must succeed again.
 BOOST_AUTO_TEST_CASE(OutageReportsNotAppliedAndRecovers) {
   FakePlatform platform;
   ControlThread control(platform.address());
