--- a/src/store/policy_test.cc
+++ b/src/store/policy_test.cc
@@ -15,9 +15,9 @@
   return {"", {{key, 0}}, {{key, "value"}}};
 }
 
-// The platform goes out. Callers that wait for each timeout would learn of the
-// outage seconds late; with the breaker open they are told at once, and one
-// call a second finds out when it is over.
+// The platform has an outage. Callers that wait for each timeout would fail
+// seconds late. The open breaker must reject calls at once and admit one probe
+// a second to detect the recovery.
 BOOST_AUTO_TEST_CASE(BreakerRejectsDuringOutageAndDetectsRecovery) {
   CallGate gate(GateOptions{});
   for (int i = 0; i < 5; ++i) {
@@ -33,9 +33,9 @@
   BOOST_TEST((gate.TryStart(CallKind::kRead, At(5)) == GateState::kOpen));
 }
 
-// All hosts restart together and each reads all it can. What they send in any
-// second must stay near the service's limit, else all are refused and none
-// becomes ready.
+// All hosts restart together and read as fast as they can. Their total rate
+// must stay near the service's limit, or all are refused and none becomes
+// ready.
 BOOST_AUTO_TEST_CASE(AllHostsTogetherStayUnderTheRate) {
   constexpr int kHosts = 8;
   int sent = 0;
@@ -48,9 +48,8 @@
   BOOST_TEST(sent >= 300 * 10 - kHosts);
 }
 
-// The service fails every call. Callers that repeat each call three times make
-// it four times as busy, so that it stays down; the budget ends that after a
-// few retries.
+// The service fails every call. Three retries per call would quadruple its load
+// and keep it down. The retry budget must stop that after a few retries.
 BOOST_AUTO_TEST_CASE(RetriesAddAtMostATenthToTheLoad) {
   RetryBudget budget(RetryOptions{});
   int retries = 0;
@@ -81,9 +80,9 @@
   BOOST_TEST(group.waiting() == 0u);
 }
 
-// A caller sends one key twice, and the second claim meets the first one's row.
-// Without taking the group apart, all requests that happened to travel with it
-// would fail as well.
+// A caller sends one key twice, and the second claim conflicts with the first
+// one's row. The other members of the second claim's batch must not fail with
+// it.
 BOOST_AUTO_TEST_CASE(OneConflictDoesNotFailOtherMembers) {
   TransactionGroup group(GroupOptions{});
   group.Add(1, Insert("a"), At(0));
@@ -102,8 +101,8 @@
   BOOST_TEST(rest[1].result.versions[0].version == 7u);
 }
 
-// A close and a new claim of one row come together. In one transaction they
-// would have no order, and the claim might be deleted.
+// A delete and a new claim of one row are added together. In one transaction
+// they would have no order, and the claim might be deleted.
 BOOST_AUTO_TEST_CASE(WritesOfOneRowGoIntoSeparateBatches) {
   TransactionGroup group(GroupOptions{});
   group.Add(1, Insert("a"), At(0));
@@ -112,7 +111,7 @@
   BOOST_TEST(group.TakeBatch(At(1))->members.size() == 1u);
 }
 
-// Answers every call in the same way, and counts them.
+// Gives every call the same answer and counts the calls.
 struct FixedTable {
   CommitState state = CommitState::kCommitted;
   int calls = 0;
@@ -134,9 +133,9 @@
   }
 };
 
-// A zone has lost the platform and its peers haven't. What certainly took no
-// effect goes through a peer; a lost answer must not, since the caller would
-// take the peer's conflict with its own row for somebody else's claim.
+// A zone has lost the platform, but its peers have not. Calls that certainly
+// took no effect go through a peer. A call with a lost answer must not: the
+// caller would take a conflict with its own row for another host's claim.
 BOOST_AUTO_TEST_CASE(OnlyUnappliedCallsUseTheFallback) {
   for (CommitState state : {CommitState::kCommitted, CommitState::kConflict,
                             CommitState::kNotApplied, CommitState::kUnknown}) {
