--- a/src/claim/claim_machine.cc
+++ b/src/claim/claim_machine.cc
@@ -49,8 +49,8 @@
 
 void ClaimMachine::AdvanceTime(absl::Time now) {
   if (now - now_ > options_.pause_gap) {
-    bool apart = now_ - awake_since_ > options_.max_transit;
-    if (apart) paused_from_ = now_;
+    bool new_pause = now_ - awake_since_ > options_.max_transit;
+    if (new_pause) paused_from_ = now_;
     awake_since_ = now;
   }
   now_ = now;
@@ -60,8 +60,9 @@
 // HTTP server limits the transit time, but a message may also have waited in a
 // socket while this process was paused.
 absl::Time ClaimMachine::EarliestSendTime() const {
-  absl::Time usual = now_ - options_.max_transit;
-  return usual < awake_since_ ? paused_from_ - options_.max_transit : usual;
+  absl::Time transit_bound = now_ - options_.max_transit;
+  return transit_bound < awake_since_ ? paused_from_ - options_.max_transit
+                                      : transit_bound;
 }
 
 absl::Time ClaimMachine::EarliestFirstSend(const ClaimRequest& request) const {
--- a/src/claim/claim_upkeep.cc
+++ b/src/claim/claim_upkeep.cc
@@ -111,12 +111,12 @@
 void ClaimMachine::ResumeQueued() {
   std::vector<ClaimId> waiting;
   for (const auto& [id, claim] : claims_) {
-    bool by_table = claim.phase == Phase::kQueued ||
-                    claim.phase == Phase::kQueryingAllPeers;
-    bool without =
+    bool with_table = claim.phase == Phase::kQueued ||
+                      claim.phase == Phase::kQueryingAllPeers;
+    bool no_table =
         claim.phase == Phase::kQueued || claim.phase == Phase::kAwaitingScan;
     bool lapsed = coverage_.HasLapsed(now_);
-    if (table_up_ ? by_table : without && lapsed) waiting.push_back(id);
+    if (table_up_ ? with_table : no_table && lapsed) waiting.push_back(id);
   }
   for (ClaimId id : waiting) {
     Claim* claim = Find(id);
