--- a/src/claim/claim_machine.h
+++ b/src/claim/claim_machine.h
@@ -65,7 +65,7 @@
   // a restart, since they may still run requests.
   void SetPeers(std::vector<EntryHostId> peers);
 
-  // Returns the latest time of the next TimerFired event.
+  // Returns the latest time of the next TimePassed event.
   absl::Time NextWakeup() const;
 
   const ClaimCounters& counters() const { return counters_; }
@@ -160,7 +160,7 @@
   void On(const CommitAnswered& event);
   void On(const ReadAnswered& event);
   void On(const PeerAnswered& event);
-  void On(const TimerFired& event);
+  void On(const TimePassed& event);
 
   // From Open() to the verdict: claim_machine.cc.
   void Begin(Claim& claim);
--- a/src/claim/claim_machine_test.cc
+++ b/src/claim/claim_machine_test.cc
@@ -76,7 +76,7 @@
 BOOST_AUTO_TEST_CASE(LeaseStartedAfterRowDoesNotCoverIt) {
   for (bool earlier : {false, true}) {
     Driver host;
-    host.Handle(TimerFired{}, At(0));
+    host.Handle(TimePassed{}, At(0));
     host.Scan({Lease("a", At(-60), At(10))}, At(0));
     host.CommitLast(At(0));
     host.Open(2, At(20));
@@ -92,7 +92,7 @@
 // them runs it. A re-send that arrives here must query both.
 BOOST_AUTO_TEST_CASE(EveryRequesterIsRemembered) {
   Driver host;
-  host.Handle(TimerFired{}, At(0));
+  host.Handle(TimePassed{}, At(0));
   host.Scan({}, At(0));
   host.CommitLast(At(0));
   BOOST_TEST((host.Query("a", 1, At(1)).state == PeerState::kNotHeld));
--- a/src/claim/claim_table.h
+++ b/src/claim/claim_table.h
@@ -92,7 +92,7 @@
     machine_.SetPeers(std::move(peers));
   }
 
-  void OnTimer() { Run(TimerFired{}); }
+  void OnTimer() { Run(TimePassed{}); }
   absl::Time NextWakeup() const { return machine_.NextWakeup(); }
   const ClaimCounters& counters() const { return machine_.counters(); }
 
--- a/src/claim/claim_upkeep.cc
+++ b/src/claim/claim_upkeep.cc
@@ -92,7 +92,7 @@
   }
 }
 
-void ClaimMachine::On(const TimerFired&) {
+void ClaimMachine::On(const TimePassed&) {
   if (now_ >= next_scan_) StartScan();
   ResumeQueued();
   if (!table_up_) return;
--- a/src/claim/explore_test.cc
+++ b/src/claim/explore_test.cc
@@ -623,7 +623,7 @@
 
   // Fires the timer of a host and answers its lease calls at once.
   void Tick(int h) {
-    Handle(h, TimerFired{});
+    Handle(h, TimePassed{});
     for (int round = 0; round < 3; ++round) DeliverLeaseCalls(h);
   }
 
--- a/src/claim/messages.h
+++ b/src/claim/messages.h
@@ -163,11 +163,11 @@
   std::optional<PeerAnswer> answer;
 };
 
-struct TimerFired {};
+struct TimePassed {};
 
 using Event = std::variant<ClaimOpened, DispatchRequested, DispatchFinished,
                            ClaimAbandoned, AttachFailed, CommitAnswered,
-                           ReadAnswered, PeerAnswered, TimerFired>;
+                           ReadAnswered, PeerAnswered, TimePassed>;
 
 struct CommitCall {
   CallId call = 0;
