--- a/src/claim/claim_machine.h
+++ b/src/claim/claim_machine.h
@@ -1,7 +1,7 @@
-// The decisions on claims of one entry host, without network, thread or clock:
-// events go in with the time, actions come out. A copyable value, so that the
-// explorer can branch it at every step. docs/design/at-most-once.md has the
-// states and every transition.
+// State machine that decides on the claims of one entry host. It uses no
+// network, thread or clock: it takes events with their time and returns
+// actions. It is copyable so that the explorer test can branch at every step.
+// docs/design/at-most-once.md lists the states and transitions.
 
 #ifndef GENTIANLB_CLAIM_CLAIM_MACHINE_H_
 #define GENTIANLB_CLAIM_CLAIM_MACHINE_H_
@@ -26,14 +26,15 @@
   EntryHostId self;
   Incarnation incarnation = 0;
   CoverageOptions coverage;
-  // How long a sending may be on its way: the HTTP server refuses a message
-  // that isn't whole within 30 s.
+  // Maximum transit time of a request: the HTTP server refuses a message that
+  // is incomplete after 30 s.
   absl::Duration max_transit = absl::Seconds(30);
-  // The control thread wakes every second; a longer gap means that the process
-  // was paused, and messages may have waited in its sockets meanwhile.
+  // A longer gap between two events means that the process was paused and that
+  // messages may have waited in its sockets. The control thread wakes every
+  // second.
   absl::Duration pause_gap = absl::Seconds(5);
-  // While the table is out: how soon its return is noticed.
-  absl::Duration probe_every = absl::Milliseconds(500);
+  // Interval of the scans that detect the table's recovery.
+  absl::Duration probe_interval = absl::Milliseconds(500);
 };
 
 struct ClaimCounters {
@@ -45,7 +46,7 @@
   std::uint64_t refused = 0;
   std::uint64_t row_writes = 0;
   std::uint64_t row_reads = 0;
-  std::uint64_t questions = 0;
+  std::uint64_t queries = 0;
   auto operator<=>(const ClaimCounters&) const = default;
 };
 
@@ -53,18 +54,18 @@
  public:
   ClaimMachine(ClaimOptions options, absl::Time now);
 
-  // Appends the actions that `event` leads to, in order.
+  // Processes `event` and appends the resulting actions in order.
   void Handle(const Event& event, absl::Time now, std::vector<Action>* actions);
 
-  // A peer asks about a key.
-  PeerAnswer HandleQuestion(const PeerQuestion& question, absl::Time now,
-                            std::vector<Action>* actions);
+  // Answers a peer's query about a key.
+  PeerAnswer HandleQuery(const PeerQuery& query, absl::Time now,
+                         std::vector<Action>* actions);
 
-  // Entry hosts known to membership. They are added: a host that has left may
-  // still be running what it ran, and isn't forgotten before a restart.
+  // Adds the entry hosts that membership knows. Hosts that left are kept until
+  // a restart, since they may still run requests.
   void SetPeers(std::vector<EntryHostId> peers);
 
-  // When TimePassed is due at the latest.
+  // Returns the latest time of the next TimePassed event.
   absl::Time NextWakeup() const;
 
   const ClaimCounters& counters() const { return counters_; }
@@ -72,23 +73,24 @@
   const Coverage& coverage() const { return coverage_; }
   std::size_t open_claims() const { return claims_.size(); }
 
-  // All that decides the future, as text: for dumps and for the explorer.
+  // Returns all state that affects later decisions as text, for dumps and for
+  // the explorer test.
   std::string Describe() const;
 
  private:
   enum class Phase {
-    kQueued,        // Waits for the table to come back, or the lease to lapse.
-    kWriting,       // Its row is on the way.
-    kReading,       // Reads the row: after a conflict or a lost answer.
-    kAskingOwner,   // Another's row was found.
-    kAwaitingScan,  // Row durable; the picture of the leases is too old.
-    kAskingPeers,   // Row durable; someone may have run it without a row.
-    kAskingAll,     // Without the table.
-    kReady,         // Proceed was given.
-    kFencing,       // Names the server in the row before the dispatch.
-    kFenceReading,  // The answer to that was lost, or it met a change.
-    kRunning,       // Dispatched.
-    kElsewhere,     // Attach was given.
+    kQueued,            // Waits until the table recovers or the lease lapses.
+    kWriting,           // The row's write is in flight.
+    kReading,           // Reads the row after a conflict or a lost answer.
+    kQueryingOwner,     // Found another claim's row; queries its owner.
+    kAwaitingScan,      // Row durable; the last lease scan is too old.
+    kQueryingPeers,     // Row durable; a peer may have run it without a row.
+    kQueryingAllPeers,  // The table is down.
+    kReady,             // Proceed was given.
+    kFencing,           // Writes the server to the row before the dispatch.
+    kFenceReading,      // Reads the row after a conflict or a lost answer.
+    kRunning,           // Dispatched.
+    kAttached,          // Attach was given.
   };
 
   struct Claim {
@@ -97,31 +99,32 @@
     std::string token;
     Phase phase = Phase::kQueued;
     absl::Time row_sent;
-    store::RowVersion base = 0;     // What the next write replaces.
-    store::RowVersion version = 0;  // Of the own row; 0: not durable.
-    bool maybe_row = false;         // The row may be in the table.
-    bool without_table = false;     // Was allowed to run without a row.
+    // The next write replaces this version of the row; 0 if there is none.
+    store::RowVersion replaced_version = 0;
+    store::RowVersion version = 0;  // Of the own row; 0 if not durable.
+    bool row_may_exist = false;     // The own row may be in the table.
+    bool without_table = false;     // Proceeds without a row.
     bool attach_failed = false;
-    bool doubt = false;  // An asked peer can't rule the key out.
+    bool in_doubt = false;  // A queried peer may have run the key.
     ServerId server;
-    std::optional<store::Row> other;  // Another's row, while asking.
-    std::map<CallId, EntryHostId> asked;
-    std::vector<Promise> promised;  // Given to peers before it was opened.
-    absl::Time first_sent;          // The key was never sent before this.
+    std::optional<store::Row> found_row;    // Another claim's row, if any.
+    std::map<CallId, EntryHostId> queries;  // Without an answer so far.
+    std::vector<Promise> promises;          // Made to peers before the claim.
+    absl::Time first_sent;  // Lower bound of the first send time.
   };
 
-  // A row to delete: nothing will be dispatched under its token.
-  struct Closing {
+  // A row to delete. Nothing is dispatched under its token any more.
+  struct PendingDelete {
     ClaimKey key;
     std::string token;
-    bool busy = false;  // A call is on its way.
+    bool in_flight = false;  // A table call has no answer yet.
   };
 
-  // A key that runs without a row; its row must follow.
-  struct Late {
+  // Row of a key that runs without one, to be written when the table recovers.
+  struct DeferredRow {
     ClaimKey key;
     ClaimRow row;
-    bool busy = false;
+    bool in_flight = false;
   };
 
   enum class Purpose {
@@ -129,70 +132,71 @@
     kClaimRead,
     kFence,
     kProgress,
-    kCloseRead,
-    kCloseWrite,
-    kLateWrite,
-    kLateRead,
+    kDeleteRead,
+    kDeleteWrite,
+    kDeferredWrite,
+    kDeferredRead,
     kScan,
     kRenew,
-    kQuestion,
+    kQuery,
   };
 
-  // What an answer belongs to.
+  // Context of a table or peer call, used when its answer arrives.
   struct Call {
     Purpose purpose = Purpose::kScan;
     ClaimId claim = 0;
-    std::string token;  // Of a closing or late row.
+    std::string token;  // Of the claim, or of the row to write or delete.
     absl::Time sent;
   };
 
   using Actions = std::vector<Action>;
 
   // Events.
-  void On(const Opened& event);
-  void On(const DispatchWanted& event);
-  void On(const DispatchEnded& event);
-  void On(const Abandoned& event);
+  void On(const ClaimOpened& event);
+  void On(const DispatchRequested& event);
+  void On(const DispatchFinished& event);
+  void On(const ClaimAbandoned& event);
   void On(const AttachFailed& event);
   void On(const CommitAnswered& event);
   void On(const ReadAnswered& event);
   void On(const PeerAnswered& event);
   void On(const TimePassed& event);
 
-  // The claim's way, claim_machine.cc.
+  // From Open() to the verdict: claim_machine.cc.
   void Begin(Claim& claim);
   void WriteRow(Claim& claim);
   void ReadRow(Claim& claim, Phase phase);
   void OnRowWritten(Claim& claim, const store::CommitResult& result);
   void OnRowRead(Claim& claim, const store::Row* row);
   void OnTableFailed(Claim& claim);
-  void OnOthersRow(Claim& claim, const store::Row& row, const ClaimRow& other);
-  void OnOwnerAnswered(Claim& claim, const std::optional<PeerAnswer>& answer);
-  void OnOwnerGone(Claim& claim, const ClaimRow& other);
+  void OnForeignRow(Claim& claim, const store::Row& row,
+                    const ClaimRow& foreign);
+  void OnOwnerAnswer(Claim& claim, const std::optional<PeerAnswer>& answer);
+  void OnOwnerUnavailable(Claim& claim, const ClaimRow& foreign);
   void TakeOver(Claim& claim);
-  void OnDurable(Claim& claim, store::RowVersion version);
-  void AskAboutUnwritten(Claim& claim);
+  void OnRowDurable(Claim& claim, store::RowVersion version);
+  void CheckUnrecordedRuns(Claim& claim);
   void RunWithoutTable(Claim& claim);
-  void AskAll(Claim& claim);
-  void Ask(Claim& claim, const EntryHostId& peer, std::string token);
-  void OnAnswerOfAsked(Claim& claim, const EntryHostId& peer,
-                       const std::optional<PeerAnswer>& answer);
-  bool RulesOut(const Claim& claim, const EntryHostId& peer,
-                const std::optional<PeerAnswer>& answer) const;
-  void OnAllAsked(Claim& claim);
+  void QueryAllPeers(Claim& claim);
+  void Query(Claim& claim, const EntryHostId& peer, std::string token);
+  void OnPeerAnswer(Claim& claim, const EntryHostId& peer,
+                    const std::optional<PeerAnswer>& answer);
+  bool ProvesNotRun(const Claim& claim, const EntryHostId& peer,
+                    const std::optional<PeerAnswer>& answer) const;
+  void OnAllPeersAnswered(Claim& claim);
   void GiveProceed(Claim& claim);
   void GiveAttach(Claim& claim, const EntryHostId& owner);
-  void GiveResume(Claim& claim, const ServerId& server, bool ended);
+  void GiveResume(Claim& claim, const ServerId& server, bool finished);
   void GiveRefusal(Claim& claim, Code code, std::string detail);
-  void LetGo(Claim& claim);
-  Code DownCode(const Claim& claim) const;
-  void MoveTime(absl::Time now);
-  absl::Time SentAfter() const;
-  absl::Time FirstSent(const ClaimRequest& request) const;
-  void AnswerQuestion(const PeerQuestion& question, PeerAnswer* answer);
-  bool Yields(const Claim& holder, const PeerQuestion& question) const;
+  void Release(Claim& claim);
+  Code TableDownCode(const Claim& claim) const;
+  void AdvanceTime(absl::Time now);
+  absl::Time EarliestSendTime() const;
+  absl::Time EarliestFirstSend(const ClaimRequest& request) const;
+  void AnswerQuery(const PeerQuery& query, PeerAnswer* answer);
+  bool YieldsTo(const Claim& holder, const PeerQuery& query) const;
 
-  // Around the dispatch, claim_dispatch.cc.
+  // Dispatch: claim_dispatch.cc.
   bool IsFenced(const Claim& claim) const;
   void WriteFence(Claim& claim);
   void OnFenceWritten(Claim& claim, const store::CommitResult& result);
@@ -200,26 +204,27 @@
   void AllowDispatch(Claim& claim);
   void RefuseDispatch(Claim& claim, Code code);
   void WriteProgress(Claim& claim, RowState state);
-  void End(Claim& claim);
+  void Finish(Claim& claim);
   ClaimRow RowOf(const Claim& claim, RowState state) const;
 
-  // What follows the claims, claim_upkeep.cc.
-  void StartClosing(Claim& claim);
-  void StepClosing(Closing& closing);
-  void OnCloseRead(const std::string& token, const store::Row* row,
-                   bool answered);
-  void OnCloseWritten(const std::string& token, store::CommitState state);
-  void StepLate(Late& late);
-  void OnLateWritten(const std::string& token,
-                     const store::CommitResult& result);
-  void OnLateRead(const std::string& token, const store::Row* row,
-                  bool answered);
-  void OnLateDurable(const std::string& token, store::RowVersion version);
+  // Table answers, row deletes, deferred rows, lease: claim_upkeep.cc.
+  void StartDelete(Claim& claim);
+  void ContinueDelete(PendingDelete& pending);
+  void OnDeleteRead(const std::string& token, const store::Row* row,
+                    bool answered);
+  void OnDeleteWritten(const std::string& token, store::CommitState state);
+  void WriteDeferredRow(DeferredRow& deferred);
+  void OnDeferredRowWritten(const std::string& token,
+                            const store::CommitResult& result);
+  void OnDeferredRowRead(const std::string& token, const store::Row* row,
+                         bool answered);
+  void OnDeferredRowDurable(const std::string& token,
+                            store::RowVersion version);
   void OnScanned(const Call& call, const std::vector<store::Row>& rows);
   void OnTableAnswer(bool answered);
   void ResumeQueued();
-  void RenewIfClean();
-  void ResumeAwaiting();
+  void RenewLeaseIfSafe();
+  void ResumeAwaitingScan();
   void StartScan();
 
   CallId NewCall(Purpose purpose, ClaimId claim, std::string token);
@@ -229,31 +234,33 @@
   void Read(Purpose purpose, ClaimId claim, std::string token,
             const std::string& row_key);
   Claim* Find(ClaimId id);
-  Claim* Holder(const ClaimKey& key);
-  std::vector<EntryHostId> AllOthers() const;
+  Claim* FindHolder(const ClaimKey& key);
+  std::vector<EntryHostId> AllPeers() const;
 
   ClaimOptions options_;
   Coverage coverage_;
   KeyMemory memory_;
   absl::Time started_;
   absl::Time now_;
-  Actions* actions_ = nullptr;  // Only during a call.
+  Actions* actions_ = nullptr;  // Set only during a call.
   bool table_up_ = true;
   bool scanning_ = false;
   bool renewing_ = false;
   absl::Time next_scan_;
-  // The last pause of the process, or several in short succession.
+  // Start and end of the last pause of the process. Pauses in short succession
+  // count as one.
   absl::Time paused_from_;
   absl::Time awake_since_;
   CallId next_call_ = 1;
   std::uint64_t next_token_ = 1;
   std::map<ClaimId, Claim> claims_;
   std::map<ClaimKey, ClaimId> holders_;
-  std::map<std::string, Closing> closings_;  // By token.
-  std::map<std::string, Late> late_;         // By token.
+  std::map<std::string, PendingDelete> pending_deletes_;  // By token.
+  std::map<std::string, DeferredRow> deferred_;           // By token.
   std::map<CallId, Call> calls_;
   std::set<EntryHostId> peers_;
-  std::set<EntryHostId> introduced_;  // Peers that certainly know this host.
+  std::set<EntryHostId>
+      aware_peers_;  // Peers that answered a query, so know this host.
   ClaimCounters counters_;
 };
 
--- a/src/claim/keys.cc
+++ b/src/claim/keys.cc
@@ -1,4 +1,4 @@
-// Digests and times of idempotency keys.
+// Computes digests of idempotency keys and bodies, and reads the time of keys.
 
 #include <xxhash.h>
 
@@ -10,9 +10,9 @@
 namespace gentianlb::claim {
 namespace {
 
-// Of a UUID in its text form, RFC 9562.
+// Layout of a UUID's text form, RFC 9562.
 constexpr std::size_t kUuidLength = 36;
-constexpr std::size_t kUuidVersionAt = 14;
+constexpr std::size_t kUuidVersionOffset = 14;
 constexpr std::size_t kUuidTimeDigits = 12;
 
 std::string HexDigest(std::string_view bytes) {
@@ -20,7 +20,8 @@
   return absl::StrFormat("%016x%016x", hash.high64, hash.low64);
 }
 
-// A length before each part: ("ab", "c") and ("a", "bc") must differ.
+// Joins two strings. The length prefix makes ("ab", "c") and ("a", "bc")
+// differ.
 std::string Join(std::string_view first, std::string_view second) {
   return absl::StrFormat("%d:%s%s", first.size(), first, second);
 }
@@ -39,7 +40,7 @@
 std::optional<absl::Time> TimeOfKey(const IdempotencyKey& key) {
   const std::string& text = key.str();
   if (text.size() != kUuidLength) return std::nullopt;
-  if (text[kUuidVersionAt] != '7') return std::nullopt;
+  if (text[kUuidVersionOffset] != '7') return std::nullopt;
   std::string digits = text.substr(0, 8) + text.substr(9, 4);
   if (digits.size() != kUuidTimeDigits) return std::nullopt;
   std::int64_t millis = 0;
--- a/src/claim/sweeper_test.cc
+++ b/src/claim/sweeper_test.cc
@@ -11,7 +11,7 @@
   return absl::UnixEpoch() + absl::Hours(1000) + absl::Hours(hours);
 }
 
-// A table in memory that answers at once.
+// In-memory table that answers at once.
 class FakeTable {
  public:
   void Commit(const store::Transaction& transaction,
@@ -53,15 +53,15 @@
 
 void SweepAll(Sweeper<FakeTable>* sweeper, double from_hours) {
   absl::Time now = At(from_hours);
-  for (int i = 0; i < kSlices; ++i) {
+  for (int i = 0; i < kSliceCount; ++i) {
     sweeper->Tick(now);
     now = sweeper->NextDue();
   }
 }
 
-// Months of keyed requests pile up in the table. What is older than three
-// days goes; a permit check of this morning is still known.
-BOOST_AUTO_TEST_CASE(OldRowsGoAndFreshOnesStay) {
+// Guards against a table that grows without limit, and against deletes of rows
+// that are within the retention of three days.
+BOOST_AUTO_TEST_CASE(OldRowsAreDeletedAndFreshRowsStay) {
   FakeTable table;
   for (const char* digits : {"00a", "7f1", "ffe"}) table.Put(digits, At(0));
   table.Put("00b", At(70));
@@ -72,9 +72,9 @@
   BOOST_TEST(sweeper.deleted() == 3U);
 }
 
-// A host takes an old row over at the very moment in which it is swept. Its
-// claim must stand, or the key could be run twice.
-BOOST_AUTO_TEST_CASE(ARowThatHasChangedIsNotDeleted) {
+// A host takes over an old row while the sweeper scans it. The row must not be
+// deleted, or the key could run twice.
+BOOST_AUTO_TEST_CASE(ChangedRowIsNotDeleted) {
   FakeTable table;
   table.Put("00a", At(0));
   table.before_answer = [&] { table.rows.begin()->second.version = 2; };
@@ -83,17 +83,17 @@
   BOOST_TEST(table.rows.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(EachSliceIsSweptByOneOfTheLivingHosts) {
+BOOST_AUTO_TEST_CASE(EachSliceIsSweptByOneLiveHost) {
   std::vector<EntryHostId> hosts = {EntryHostId("a"), EntryHostId("b"),
                                     EntryHostId("c")};
-  for (int slice = 0; slice < kSlices; ++slice) {
+  for (int slice = 0; slice < kSliceCount; ++slice) {
     int sweepers = 0;
     for (const EntryHostId& self : hosts) {
-      std::vector<EntryHostId> others;
+      std::vector<EntryHostId> peers;
       for (const EntryHostId& host : hosts) {
-        if (host != self) others.push_back(host);
+        if (host != self) peers.push_back(host);
       }
-      if (SweepsSlice(slice, self, others)) ++sweepers;
+      if (SweepsSlice(slice, self, peers)) ++sweepers;
     }
     BOOST_REQUIRE(sweepers == 1);
   }
--- a/src/entry/calls_dispatch.cc
+++ b/src/entry/calls_dispatch.cc
@@ -30,7 +30,7 @@
     return;
   }
   call->phase = Call::Phase::kSending;
-  claims_->Dispatching(
+  claims_->RequestDispatch(
       call->claim, call->server,
       [this, id = call->id](const std::optional<claim::Refuse>& refusal) {
         CallPtr found = Find(id);
@@ -40,7 +40,7 @@
           return;
         }
         // It was not sent, and under this claim it won't be.
-        claims_->Ended(found->claim, /*sent=*/false);
+        claims_->FinishDispatch(found->claim, /*sent=*/false);
         Tell(*found, schedule::RequestFinished{
                          found->id, schedule::RequestOutcome::kCancelled});
         GivenUp why = found->stop.has_value()
@@ -119,7 +119,7 @@
     Tell(*call, schedule::RequestFinished{call->id,
                                           schedule::RequestOutcome::kCancelled,
                                           end.next_offset, 0});
-    if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
+    if (call->claim != 0) claims_->FinishDispatch(call->claim, /*sent=*/true);
     GiveUp(call, *call->stop);
     return;
   }
@@ -143,7 +143,7 @@
     Tell(*call,
          schedule::RequestFinished{call->id, schedule::RequestOutcome::kFailed,
                                    end.next_offset, 0});
-    if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
+    if (call->claim != 0) claims_->FinishDispatch(call->claim, /*sent=*/true);
   }
   GiveUp(call, {end.error, absl::ZeroDuration()});
 }
@@ -153,7 +153,7 @@
   call->phase = Call::Phase::kWaiting;
   call->relay.reset();
   call->server = ServerId();
-  if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/false);
+  if (call->claim != 0) claims_->FinishDispatch(call->claim, /*sent=*/false);
   Tell(*call, schedule::RequestFinished{
                   call->id, schedule::RequestOutcome::kNotSent, 0, 0});
 }
@@ -172,7 +172,7 @@
     Tell(*call, schedule::RequestFinished{
                     call->id, schedule::RequestOutcome::kComplete,
                     end.next_offset, end.usage.cached_tokens});
-    if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
+    if (call->claim != 0) claims_->FinishDispatch(call->claim, /*sent=*/true);
   } else if (call->claim != 0) {
     claims_->Abandon(call->claim);
   }
@@ -187,7 +187,7 @@
       Tell(*call,
            schedule::RequestFinished{
                call->id, schedule::RequestOutcome::kFailed, call->tokens, 0});
-      if (call->claim != 0) claims_->Ended(call->claim, /*sent=*/true);
+      if (call->claim != 0) claims_->FinishDispatch(call->claim, /*sent=*/true);
     }
     GiveUp(call, {error, absl::ZeroDuration()});
     return;
--- a/src/store/policy_test.cc
+++ b/src/store/policy_test.cc
@@ -15,10 +15,10 @@
   return {"", {{key, 0}}, {{key, "value"}}};
 }
 
-// The platform goes out. Callers that wait for each timeout would learn of the
-// outage seconds late; with the breaker open they are told at once, and one
-// call a second finds out when it is over.
-BOOST_AUTO_TEST_CASE(AnOutageIsAnsweredAtOnceAndItsEndIsNoticed) {
+// The platform has an outage. Callers that wait for each timeout would fail
+// seconds late. The open breaker must reject calls at once and admit one probe
+// a second to detect the recovery.
+BOOST_AUTO_TEST_CASE(BreakerRejectsDuringOutageAndDetectsRecovery) {
   CallGate gate(GateOptions{});
   for (int i = 0; i < 5; ++i) {
     BOOST_TEST((gate.TryStart(CallKind::kRead, At(i)) == GateState::kOpen));
@@ -33,24 +33,23 @@
   BOOST_TEST((gate.TryStart(CallKind::kRead, At(5)) == GateState::kOpen));
 }
 
-// All hosts restart together and each reads all it can. What they send in any
-// second must stay near the service's limit, else all are refused and none
-// becomes ready.
+// All hosts restart together and read as fast as they can. Their total rate
+// must stay near the service's limit, or all are refused and none becomes
+// ready.
 BOOST_AUTO_TEST_CASE(AllHostsTogetherStayUnderTheRate) {
   constexpr int kHosts = 8;
   int sent = 0;
   for (int host = 0; host < kHosts; ++host) {
     RateShare share(300, absl::Seconds(1));
     share.SetHosts(kHosts);
-    for (int ms = 0; ms < 10000; ++ms) sent += share.Take(At(ms / 1000.0));
+    for (int ms = 0; ms < 10000; ++ms) sent += share.TryTake(At(ms / 1000.0));
   }
   BOOST_TEST(sent <= 300 * 10 + kHosts);
   BOOST_TEST(sent >= 300 * 10 - kHosts);
 }
 
-// The service fails every call. Callers that repeat each call three times make
-// it four times as busy, so that it stays down; the budget ends that after a
-// few retries.
+// The service fails every call. Three retries per call would quadruple its load
+// and keep it down. The retry budget must stop that after a few retries.
 BOOST_AUTO_TEST_CASE(RetriesAddAtMostATenthToTheLoad) {
   RetryBudget budget(RetryOptions{});
   int retries = 0;
@@ -73,27 +72,27 @@
   for (MemberId id = 1; id <= 50; ++id) {
     group.Add(id, Insert("row" + std::to_string(id)), At(0));
   }
-  BOOST_TEST(!group.Take(At(0.002)).has_value());
-  auto batch = group.Take(At(0.003));
+  BOOST_TEST(!group.TakeBatch(At(0.002)).has_value());
+  auto batch = group.TakeBatch(At(0.003));
   BOOST_REQUIRE(batch.has_value());
   BOOST_TEST(batch->members.size() == 50u);
   BOOST_TEST(batch->transaction.writes.size() == 50u);
   BOOST_TEST(group.waiting() == 0u);
 }
 
-// A caller sends one key twice, and the second claim meets the first one's row.
-// Without taking the group apart, all requests that happened to travel with it
-// would fail as well.
-BOOST_AUTO_TEST_CASE(OneConflictDoesNotFailItsNeighbours) {
+// A caller sends one key twice, and the second claim conflicts with the first
+// one's row. The other members of the second claim's batch must not fail with
+// it.
+BOOST_AUTO_TEST_CASE(OneConflictDoesNotFailOtherMembers) {
   TransactionGroup group(GroupOptions{});
   group.Add(1, Insert("a"), At(0));
   group.Add(2, Insert("b"), At(0));
   group.Add(3, Insert("c"), At(0));
-  auto settled =
-      group.OnResult(*group.Take(At(1)), {CommitState::kConflict, {"b"}, {}});
-  BOOST_REQUIRE(settled.size() == 1u);
-  BOOST_TEST(settled[0].id == 2u);
-  auto again = group.Take(At(1));
+  auto finished = group.OnResult(*group.TakeBatch(At(1)),
+                                 {CommitState::kConflict, {"b"}, {}});
+  BOOST_REQUIRE(finished.size() == 1u);
+  BOOST_TEST(finished[0].id == 2u);
+  auto again = group.TakeBatch(At(1));
   BOOST_REQUIRE(again.has_value());
   BOOST_TEST(again->members.size() == 2u);
   auto rest = group.OnResult(
@@ -102,17 +101,17 @@
   BOOST_TEST(rest[1].result.versions[0].version == 7u);
 }
 
-// A close and a new claim of one row come together. In one transaction they
-// would have no order, and the claim might be deleted.
-BOOST_AUTO_TEST_CASE(TwoWritesOfOneRowTravelOneAfterTheOther) {
+// A delete and a new claim of one row are added together. In one transaction
+// they would have no order, and the claim might be deleted.
+BOOST_AUTO_TEST_CASE(WritesOfOneRowGoIntoSeparateBatches) {
   TransactionGroup group(GroupOptions{});
   group.Add(1, Insert("a"), At(0));
   group.Add(2, Insert("a"), At(0));
-  BOOST_TEST(group.Take(At(1))->members.size() == 1u);
-  BOOST_TEST(group.Take(At(1))->members.size() == 1u);
+  BOOST_TEST(group.TakeBatch(At(1))->members.size() == 1u);
+  BOOST_TEST(group.TakeBatch(At(1))->members.size() == 1u);
 }
 
-// Answers every call in the same way, and counts them.
+// Gives every call the same answer and counts the calls.
 struct FixedTable {
   CommitState state = CommitState::kCommitted;
   int calls = 0;
@@ -134,20 +133,20 @@
   }
 };
 
-// A zone has lost the platform and its peers haven't. What certainly took no
-// effect goes through a peer; a lost answer must not, since the caller would
-// take the peer's conflict with its own row for somebody else's claim.
-BOOST_AUTO_TEST_CASE(OnlyWhatTookNoEffectGoesThroughAPeer) {
+// A zone has lost the platform, but its peers have not. Calls that certainly
+// took no effect go through a peer. A call with a lost answer must not: the
+// caller would take a conflict with its own row for another host's claim.
+BOOST_AUTO_TEST_CASE(OnlyUnappliedCallsUseTheFallback) {
   for (CommitState state : {CommitState::kCommitted, CommitState::kConflict,
                             CommitState::kNotApplied, CommitState::kUnknown}) {
     FixedTable own{state};
     FixedTable peer;
     FallbackTable<FixedTable, FixedTable> table(&own, &peer);
-    CommitState got = CommitState::kUnknown;
-    table.Commit(Insert("a"), [&](auto result) { got = result.state; });
+    CommitState received = CommitState::kUnknown;
+    table.Commit(Insert("a"), [&](auto result) { received = result.state; });
     bool relayed = state == CommitState::kNotApplied;
     BOOST_TEST(peer.calls == (relayed ? 1 : 0));
-    BOOST_TEST((got == (relayed ? CommitState::kCommitted : state)));
+    BOOST_TEST((received == (relayed ? CommitState::kCommitted : state)));
   }
   FixedTable own{CommitState::kNotApplied};
   FixedTable peer;
