--- a/src/gateway/aggregate.cc
+++ b/src/gateway/aggregate.cc
@@ -15,14 +15,15 @@
 // and all callers wait for it.
 constexpr double kMinProcessorRatio = 0.75;
 
-// Number of hosts of a zone that may dispatch: several, so that groups are
-// spread and a lost dispatcher is replaced at once, but not all, since the list
-// is sent to every host.
+// Maximum number of hosts of a zone that may dispatch: one per
+// kHostsPerDispatcher live hosts, but not below kMinDispatchers. Several, so
+// that groups are spread and a lost dispatcher is replaced at once, but not
+// all, since the list is sent to every host.
 constexpr std::size_t kMinDispatchers = 4;
 constexpr std::size_t kHostsPerDispatcher = 8;
 
-// How long after its last update a host is still sent to. A host that starts or
-// returns sends an update itself.
+// How long after its last update a host still receives updates. A host that
+// starts or returns sends an update itself.
 constexpr absl::Duration kRecipientTimeout = absl::Seconds(5);
 
 absl::Duration PeriodOf(const FleetUpdate& update) {
@@ -30,7 +31,7 @@
 }
 
 // Returns the history that two hosts have together. If changes may lie between
-// the two histories, this is the later one alone.
+// the two histories, this is the later one with the newest change of both.
 TableHistory Join(const TableHistory& a, const TableHistory& b) {
   TableHistory joined = a.version < b.version ? b : a;
   joined.newest_change = std::max(a.newest_change, b.newest_change);
@@ -92,8 +93,8 @@
   // back has a lower incarnation, and would be ignored for ever.
   const bool outdated = PositionOf(update) <= PositionOf(source.update);
   if (outdated && IsLive(source, now)) return true;
-  // Meanwhile the host may have reported to another aggregator, or used its own
-  // share of the limits.
+  // While nothing arrived from it, the source may have reported to another
+  // aggregator or used its own share of the limits, so counting starts anew.
   if (!IsLive(source, now)) {
     source.counters = UseCounters();
   }
--- a/src/gateway/aggregate.h
+++ b/src/gateway/aggregate.h
@@ -1,11 +1,12 @@
 // Merges the states of a zone's hosts and of the other zones, for the zone's
 // aggregator.
 //
-// Load pattern: hundreds of hosts need the use of limits and servers by all
-// peers, and the list of live hosts. If every host sent to every other, a
-// host's messages would grow with the number of hosts and the total with its
-// square; sent less often, they would be too old to enforce limits. With
-// merging, a host receives one message per period whatever the number of hosts.
+// Each of hundreds of hosts needs to know how much of the limits and servers
+// all its peers use, and which hosts are live. If every host sent to every
+// other, a host's messages would grow with the number of hosts and the total
+// with its square; sent less often, they would be too old to enforce limits.
+// With merging, a host receives one message per period whatever the number of
+// hosts.
 //
 // Has no network and no clock of its own.
 
@@ -36,10 +37,10 @@
   // sender.
   bool RecordUpdate(const FleetUpdate& update, absl::Time now);
 
-  // Adds hosts of the zone and other zones that should send updates. One that
-  // is unresponsive for a minute is dropped, but only while more than half of
-  // all hosts are live: a minority that is cut off must not claim the whole
-  // limits.
+  // Adds hosts of the zone and other zones that should send updates. A host or
+  // zone that is unresponsive for a minute is dropped, but only while more than
+  // half of all hosts are live: a minority that is cut off must not claim the
+  // whole limits.
   void AddExpected(const std::vector<std::string>& hosts,
                    const ZoneHosts& zones, absl::Time now);
 
@@ -98,8 +99,8 @@
     return update.sender.zone == zone_;
   }
   static bool IsLive(const Source& source, absl::Time now);
-  // Returns whether the source is live and, of aggregators of another zone, the
-  // best one.
+  // Returns whether the source is live and, if it is of another zone, the best
+  // of that zone's live aggregators. Only such sources are merged.
   bool IsCounted(const Source& source, absl::Time now) const;
   FirstMessage FirstMessageRule(const FleetUpdate& update,
                                 absl::Time now) const;
--- a/src/gateway/aggregator_election.cc
+++ b/src/gateway/aggregator_election.cc
@@ -11,7 +11,8 @@
 // delay, and one lost message.
 constexpr int kPeriodsPerTurn = 3;
 
-// How long a lost aggregator is not waited for.
+// How long a lost aggregator is not a candidate, unless a message of it
+// arrives.
 constexpr absl::Duration kLostAggregatorSkip = absl::Seconds(5);
 
 }  // namespace
--- a/src/gateway/fleet.cc
+++ b/src/gateway/fleet.cc
@@ -28,7 +28,8 @@
 constexpr absl::Duration kMinSettlingTime = absl::Milliseconds(200);
 constexpr int kSettlingPeriods = 3;
 
-// Hosts of the zone that each detailed message lists, in turn.
+// Number of live hosts of the zone that each detailed message lists. Successive
+// messages list different ones.
 constexpr std::size_t kNeighboursPerMessage = 8;
 
 // With two, a try soon succeeds even if half of the peers lack the data too.
--- a/src/gateway/fleet.h
+++ b/src/gateway/fleet.h
@@ -35,7 +35,7 @@
   std::function<void(const std::string& host, const FleetUpdate& update)> send;
 };
 
-// This host's membership of the fleet, the group of all entry hosts.
+// This host's membership of the fleet, the set of all entry hosts.
 class Fleet {
  public:
   // `incarnation` must increase with each start of the host.
@@ -103,11 +103,12 @@
   absl::Time aggregating_since_;  // When this host became the aggregator.
   absl::Time last_detailed_ = absl::InfinitePast();
   std::vector<HostEntry> sent_dispatchers_;
+  // The last accepted update with the state of all peers.
   UpdatePosition peers_position_;
   std::string peers_sender_;
   absl::Time peers_received_ = absl::InfinitePast();
-  // Aggregators of other zones, as named by a host there, until they are sent
-  // to.
+  // The aggregator that a message last named for each zone; removed once this
+  // host, as an aggregator itself, has sent an update to it.
   std::map<std::string, std::string> named_aggregators_;
 };
 
--- a/src/gateway/fleet_messages.h
+++ b/src/gateway/fleet_messages.h
@@ -66,7 +66,7 @@
 struct TableState {
   NameHash table = 0;
   TableHistory history;
-  bool up = false;  // The table service answers.
+  bool up = false;  // A host receives changes from the service itself.
   // Time since the service recovered from an outage; below 0: no outage.
   std::int32_t recovery_age_ms = -1;
   auto operator<=>(const TableState&) const = default;
--- a/src/gateway/fleet_site_test.h
+++ b/src/gateway/fleet_site_test.h
@@ -30,7 +30,7 @@
     bool frozen = false;  // Neither receives nor sends.
     int side = 0;  // Hosts of different sides are cut off from each other.
     std::int64_t incarnation = 0;
-    absl::Duration clock_behind;  // How far its clock is behind `now`.
+    absl::Duration clock_lag;  // How far its clock is behind `now`.
     FleetUpdate peers;  // The last update; lists of the last detailed one.
     absl::Time peers_at = absl::InfinitePast();
     std::function<void(FleetUpdate* own)> compose;
@@ -88,7 +88,7 @@
     };
     host->fleet =
         std::make_unique<Fleet>(host->entry, ++host->incarnation,
-                                std::move(hooks), now - host->clock_behind);
+                                std::move(hooks), now - host->clock_lag);
     host->peers = FleetUpdate();
     host->peers_at = absl::InfinitePast();
     host->up = true;
@@ -97,7 +97,7 @@
     for (const auto& [other, entry] : hosts) {
       if (reads_table) host->fleet->AddHost(entry.entry);
     }
-    host->fleet->StartElection(now - host->clock_behind);
+    host->fleet->StartElection(now - host->clock_lag);
   }
 
   void Kill(const std::string& name) { hosts.at(name).up = false; }
@@ -107,7 +107,7 @@
     Deliver();
     for (auto& [name, host] : hosts) {
       if (!host.up || host.frozen || now < host.due) continue;
-      host.fleet->Tick(now - host.clock_behind);
+      host.fleet->Tick(now - host.clock_lag);
       host.due = now + host.fleet->Period();
     }
   }
@@ -186,7 +186,7 @@
       if (datagram.due > now) {
         queue_.push_back(std::move(datagram));
       } else if (host.up && !host.frozen && host.side == datagram.side) {
-        host.fleet->OnUpdate(datagram.update, now - host.clock_behind);
+        host.fleet->OnUpdate(datagram.update, now - host.clock_lag);
       }
     }
   }
--- a/src/gateway/fleet_test.cc
+++ b/src/gateway/fleet_test.cc
@@ -48,10 +48,11 @@
   site.Pass(absl::Seconds(kSeconds));
   Cost cost;
   for (const auto& [name, host] : site.hosts) {
-    const double part = 1.0 / kSeconds / count;
-    cost.datagrams += host.sent * part;
-    cost.bytes += static_cast<double>(host.sent_bytes) * part;
-    cost.bytes_to_zones += static_cast<double>(host.sent_bytes_to_zones) * part;
+    const double scale = 1.0 / kSeconds / count;
+    cost.datagrams += host.sent * scale;
+    cost.bytes += static_cast<double>(host.sent_bytes) * scale;
+    cost.bytes_to_zones +=
+        static_cast<double>(host.sent_bytes_to_zones) * scale;
     cost.max_datagrams =
         std::max(cost.max_datagrams, static_cast<double>(host.sent) / kSeconds);
   }
@@ -229,7 +230,7 @@
   for (const std::string& name : restarted) {
     FleetSite::Host& host = site.hosts.at(name);
     host.incarnation -= 5;
-    host.clock_behind = absl::Seconds(20);
+    host.clock_lag = absl::Seconds(20);
     site.Start(name);
   }
   site.Pass(absl::Seconds(3));
--- a/src/gateway/table_page.h
+++ b/src/gateway/table_page.h
@@ -27,8 +27,9 @@
 };
 
 // The part of a table's history that a host has: all changes after `since` up
-// to `version`; the last of them is `newest_change`. The host has read the
-// whole table at version `since` and does not know earlier removals.
+// to `version`; the last of them is `newest_change`. The host may lack removals
+// up to `since`: it read the whole table at that version or has dropped old
+// removals.
 struct TableHistory {
   std::uint64_t newest_change = 0;
   std::uint64_t since = 0;
