--- a/src/gateway/fleet_messages.cc
+++ b/src/gateway/fleet_messages.cc
@@ -11,9 +11,9 @@
 namespace {
 
 // First bytes of each message; they identify its type and format.
-constexpr std::string_view kUpdateMark = "GN5";
-constexpr std::string_view kChangesMark = "GT1";
-constexpr std::string_view kQueryMark = "GQ1";
+constexpr std::string_view kUpdateMagic = "GN5";
+constexpr std::string_view kChangesMagic = "GT1";
+constexpr std::string_view kQueryMagic = "GQ1";
 
 void Write(WireWriter& writer, const HostEntry& host) {
   WriteText(writer, host.host);
@@ -99,10 +99,10 @@
 // Decodes the bytes after `mark` with `read`. Returns nullopt if they are
 // truncated or of another type.
 template <typename Message, typename ReadMessage>
-std::optional<Message> Decode(std::string_view mark, std::string_view bytes,
+std::optional<Message> Decode(std::string_view magic, std::string_view bytes,
                               ReadMessage read) {
-  if (!bytes.starts_with(mark)) return std::nullopt;
-  bytes.remove_prefix(mark.size());
+  if (!bytes.starts_with(magic)) return std::nullopt;
+  bytes.remove_prefix(magic.size());
   std::istringstream in{std::string(bytes)};
   Message message;
   try {
@@ -129,7 +129,7 @@
 
 std::string Encode(const FleetUpdate& update) {
   std::ostringstream out;
-  out << kUpdateMark;
+  out << kUpdateMagic;
   WireWriter writer(out);
   writer(static_cast<std::uint8_t>(update.scope));
   Write(writer, update.sender);
@@ -150,16 +150,16 @@
 }
 
 bool IsFleetUpdate(std::string_view bytes) {
-  return bytes.starts_with(kUpdateMark);
+  return bytes.starts_with(kUpdateMagic);
 }
 
 std::optional<FleetUpdate> DecodeFleetUpdate(std::string_view bytes) {
-  return Decode<FleetUpdate>(kUpdateMark, bytes, ReadUpdate);
+  return Decode<FleetUpdate>(kUpdateMagic, bytes, ReadUpdate);
 }
 
 std::optional<std::string> Encode(const TableChanges& changes) {
   std::ostringstream out;
-  out << kChangesMark;
+  out << kChangesMagic;
   WireWriter writer(out);
   writer(changes.table, changes.since, changes.page.version);
   WriteList(writer, changes.page.rows, [&](const TableRow& row) {
@@ -173,16 +173,16 @@
 }
 
 bool IsTableChanges(std::string_view bytes) {
-  return bytes.starts_with(kChangesMark);
+  return bytes.starts_with(kChangesMagic);
 }
 
 std::optional<TableChanges> DecodeTableChanges(std::string_view bytes) {
-  return Decode<TableChanges>(kChangesMark, bytes, ReadChanges);
+  return Decode<TableChanges>(kChangesMagic, bytes, ReadChanges);
 }
 
 std::string Encode(const TableQuery& query) {
   std::ostringstream out;
-  out << kQueryMark;
+  out << kQueryMagic;
   WireWriter writer(out);
   WriteText(writer, query.requester);
   writer(query.table, query.since);
@@ -190,11 +190,11 @@
 }
 
 bool IsTableQuery(std::string_view bytes) {
-  return bytes.starts_with(kQueryMark);
+  return bytes.starts_with(kQueryMagic);
 }
 
 std::optional<TableQuery> DecodeTableQuery(std::string_view bytes) {
-  return Decode<TableQuery>(kQueryMark, bytes, ReadQuery);
+  return Decode<TableQuery>(kQueryMagic, bytes, ReadQuery);
 }
 
 }  // namespace gentianlb::gateway
--- a/src/gateway/group_messages.cc
+++ b/src/gateway/group_messages.cc
@@ -198,7 +198,7 @@
     GetId(&event->id);
     GetNumber<std::uint8_t>(&event->kind);
     if (event->kind > RequestOutcome::kCancelled) {
-      throw std::out_of_range("unknown end kind");
+      throw std::out_of_range("unknown request outcome");
     }
     GetNumber<std::int32_t>(&event->output_tokens);
   }
--- a/src/gateway/peers.cc
+++ b/src/gateway/peers.cc
@@ -51,7 +51,7 @@
 
 // First bytes of an envelope. It precedes the messages of other components with
 // the sender's address, so that a host that does not know the sender can reply.
-constexpr std::string_view kEnvelopeMark = "GE1";
+constexpr std::string_view kEnvelopeMagic = "GE1";
 
 struct Envelope {
   std::string host;
@@ -65,7 +65,7 @@
 
 std::string EncodeEnvelope(const Envelope& envelope) {
   std::ostringstream out;
-  out << kEnvelopeMark;
+  out << kEnvelopeMagic;
   WireWriter writer(out);
   WriteText(writer, envelope.host);
   WriteText(writer, envelope.address);
@@ -74,8 +74,8 @@
 }
 
 std::optional<Envelope> DecodeEnvelope(std::string_view bytes) {
-  if (!bytes.starts_with(kEnvelopeMark)) return std::nullopt;
-  bytes.remove_prefix(kEnvelopeMark.size());
+  if (!bytes.starts_with(kEnvelopeMagic)) return std::nullopt;
+  bytes.remove_prefix(kEnvelopeMagic.size());
   std::istringstream in{std::string(bytes)};
   Envelope envelope;
   try {
--- a/src/gateway/wire_lists.h
+++ b/src/gateway/wire_lists.h
@@ -20,7 +20,7 @@
 using WireReader = cereal::PortableBinaryInputArchive;
 
 // Maximum items of a list and bytes of a short string; more than any message
-// of a large site needs. Longer ones are cut when written.
+// of a large site needs. Longer ones are truncated when written.
 inline constexpr std::size_t kMaxWireItems = 4096;
 
 template <typename List, typename WriteItem>
@@ -66,7 +66,7 @@
                       std::string* bytes) {
   std::uint32_t count = 0;
   reader(count);
-  if (count > max_bytes) throw std::length_error("text too long");
+  if (count > max_bytes) throw std::length_error("too many bytes");
   bytes->resize(count);
   reader.loadBinary<1>(bytes->data(), count);
 }
