--- a/src/gateway/group_client.cc
+++ b/src/gateway/group_client.cc
@@ -144,8 +144,8 @@
   if (const auto* arrived = std::get_if<schedule::RequestArrived>(&event)) {
     return Submit(service, arrived->request, now);
   }
-  if (const auto* ended = std::get_if<schedule::RequestFinished>(&event)) {
-    return OnFinished(*ended, now);
+  if (const auto* finished = std::get_if<schedule::RequestFinished>(&event)) {
+    return OnFinished(*finished, now);
   }
   if (const auto* disconnected =
           std::get_if<schedule::CallerDisconnected>(&event)) {
--- a/src/gateway/group_dispatchers.cc
+++ b/src/gateway/group_dispatchers.cc
@@ -55,6 +55,7 @@
     request.host = host;
     return request;
   }
+  // Never called: HandleEvent() handles lists of open requests separately.
   schedule::Event operator()(const OpenRequests& /*open*/) const {
     return schedule::TimePassed{};
   }
--- a/src/gateway/group_link.cc
+++ b/src/gateway/group_link.cc
@@ -49,7 +49,7 @@
                  if (host != self_) Outgoing(host);
                }}) {}
 
-GroupLink::~GroupLink() { timers_->Cancel(tick_); }
+GroupLink::~GroupLink() { timers_->Cancel(tick_timer_); }
 
 void GroupLink::SetServers(const Service& service,
                            const std::vector<ServerEntry>& servers) {
@@ -121,10 +121,10 @@
   if (client_.Pending()) next = std::min(next, clock_() + kClientTickInterval);
   // An early tick does no harm; a new timer for each event would cost more.
   if (next >= next_tick_) return;
-  timers_->Cancel(tick_);
+  timers_->Cancel(tick_timer_);
   next_tick_ = next;
-  tick_ = timers_->At(next, [this](absl::Time now) {
-    tick_ = 0;
+  tick_timer_ = timers_->At(next, [this](absl::Time now) {
+    tick_timer_ = 0;
     next_tick_ = absl::InfiniteFuture();
     Tick(now);
   });
--- a/src/gateway/group_link.h
+++ b/src/gateway/group_link.h
@@ -77,7 +77,7 @@
   GroupDispatchers dispatchers_;
   std::map<EntryHostId, GroupMessage> outgoing_;
   bool flush_pending_ = false;  // Flush() is deferred.
-  TimerId tick_ = 0;
+  TimerId tick_timer_ = 0;
   absl::Time next_tick_ = absl::InfiniteFuture();
   std::uint64_t malformed_ = 0;
   // Expires with this object; deferred closures check it.
--- a/src/gateway/group_link_test.cc
+++ b/src/gateway/group_link_test.cc
@@ -1,5 +1,5 @@
 // Tests entry hosts and the dispatchers of groups over a network that loses,
-// duplicates and delays datagrams, with hosts that freeze, die and are
+// duplicates and delays datagrams, with hosts that freeze, are killed and are
 // partitioned.
 
 #include "gateway/group_link.h"
--- a/src/gateway/group_site_test.h
+++ b/src/gateway/group_site_test.h
@@ -142,11 +142,11 @@
 
   // Returns the host that all hosts select as the dispatcher.
   std::string Dispatcher() {
-    DispatcherSelector view(EntryHostId("h0"));
+    DispatcherSelector selector(EntryHostId("h0"));
     std::vector<HostEntry> all;
     for (const auto& [name, host] : hosts) all.push_back({name, "", "z", 1});
-    view.SetHosts(all);
-    return view.DispatcherOf({HashName(service.id.str()), 0}, now).str();
+    selector.SetHosts(all);
+    return selector.DispatcherOf({HashName(service.id.str()), 0}, now).str();
   }
 
   int Granted(const std::string& server) const {
--- a/src/gateway/groups.cc
+++ b/src/gateway/groups.cc
@@ -18,10 +18,10 @@
 // milliseconds.
 constexpr absl::Duration kExclusionTime = absl::Seconds(1);
 
-// Min processor share of a dispatcher's host, relative to the largest share of
-// any host. A decision that takes 0.1 ms on the fastest host takes several
-// times as long on a small one, and all callers wait for it.
-constexpr double kMinRelativeProcessor = 0.75;
+// Minimum processor share of a dispatcher's host, relative to the largest share
+// of any host that may dispatch. A decision that takes 0.1 ms on the fastest
+// host takes several times as long on a small one, and all callers wait for it.
+constexpr double kMinProcessorRatio = 0.75;
 
 }  // namespace
 
@@ -82,7 +82,7 @@
   }
   std::pair<NameHash, EntryHostId> best{0, self_};
   for (const HostEntry* host : candidates) {
-    if (host->processor < kMinRelativeProcessor * max_processor) continue;
+    if (host->processor < kMinProcessorRatio * max_processor) continue;
     const std::string hash_input =
         absl::StrCat(host->host, "/", group.service, "/", group.group);
     best = std::max(best,
--- a/src/gateway/groups_test.cc
+++ b/src/gateway/groups_test.cc
@@ -23,13 +23,13 @@
 // Returns the dispatcher that host `self` selects if all hosts but `lost` are
 // live.
 EntryHostId SelectedDispatcher(int self, const GroupKey& group, int lost = -1) {
-  DispatcherSelector hosts(HostId(self));
+  DispatcherSelector selector(HostId(self));
   std::vector<HostEntry> live;
   for (int i = 0; i < kHostCount; ++i) {
     if (i != lost) live.push_back(MakeHostEntry(i));
   }
-  hosts.SetHosts(live);
-  return hosts.DispatcherOf(group, now);
+  selector.SetHosts(live);
+  return selector.DispatcherOf(group, now);
 }
 
 BOOST_AUTO_TEST_CASE(AllHostsSelectSameDispatcher) {
@@ -62,27 +62,30 @@
   const GroupKey key{HashName("service"), 0};
   const EntryHostId dispatcher = SelectedDispatcher(0, key);
   for (int self = 0; self < kHostCount; ++self) {
-    DispatcherSelector hosts(HostId(self));
+    DispatcherSelector selector(HostId(self));
     const std::vector<HostEntry> both = {{dispatcher.str(), "", "z", 1},
                                          {HostId(self).str(), "", "z", 1}};
-    hosts.SetHosts(both);
-    BOOST_TEST(hosts.DispatcherOf(key, now) == dispatcher);
+    selector.SetHosts(both);
+    BOOST_TEST(selector.DispatcherOf(key, now) == dispatcher);
     if (HostId(self) == dispatcher) {
-      hosts.Drain();
-      hosts.SetHosts(
+      selector.Drain();
+      selector.SetHosts(
           {MakeHostEntry(0), MakeHostEntry(1), {dispatcher.str(), "", "z", 1}});
-      BOOST_TEST(hosts.DispatcherOf(key, now) != dispatcher);
+      BOOST_TEST(selector.DispatcherOf(key, now) != dispatcher);
       continue;
     }
-    hosts.Exclude(dispatcher, now);
-    BOOST_TEST(hosts.DispatcherOf(key, now) != dispatcher);
-    BOOST_TEST(hosts.DispatcherOf(key, now + absl::Seconds(2)) == dispatcher);
+    selector.Exclude(dispatcher, now);
+    BOOST_TEST(selector.DispatcherOf(key, now) != dispatcher);
+    BOOST_TEST(selector.DispatcherOf(key, now + absl::Seconds(2)) ==
+               dispatcher);
     // Without the first host, because draining and unresponsive hosts are not
     // listed.
-    hosts.SetHosts({both.back()});
-    BOOST_TEST(hosts.DispatcherOf(key, now + absl::Seconds(2)) == HostId(self));
-    hosts.SetHosts({});
-    BOOST_TEST(hosts.DispatcherOf(key, now + absl::Seconds(2)) == HostId(self));
+    selector.SetHosts({both.back()});
+    BOOST_TEST(selector.DispatcherOf(key, now + absl::Seconds(2)) ==
+               HostId(self));
+    selector.SetHosts({});
+    BOOST_TEST(selector.DispatcherOf(key, now + absl::Seconds(2)) ==
+               HostId(self));
   }
 }
 
@@ -91,11 +94,11 @@
 BOOST_AUTO_TEST_CASE(SmallHostsDontDispatchBesideLargeOnes) {
   for (std::uint16_t group = 0; group < 16; ++group) {
     const GroupKey key{HashName("service"), group};
-    DispatcherSelector hosts(HostId(0));
-    BOOST_TEST(hosts.DispatcherOf(key, now) == HostId(0));
-    hosts.SetHosts({MakeHostEntry(0, 0.12F), MakeHostEntry(1, 0.5F),
-                    MakeHostEntry(2, 0.4F), MakeHostEntry(3, 0.25F)});
-    const EntryHostId dispatcher = hosts.DispatcherOf(key, now);
+    DispatcherSelector selector(HostId(0));
+    BOOST_TEST(selector.DispatcherOf(key, now) == HostId(0));
+    selector.SetHosts({MakeHostEntry(0, 0.12F), MakeHostEntry(1, 0.5F),
+                       MakeHostEntry(2, 0.4F), MakeHostEntry(3, 0.25F)});
+    const EntryHostId dispatcher = selector.DispatcherOf(key, now);
     BOOST_TEST((dispatcher == HostId(1) || dispatcher == HostId(2)));
   }
 }
@@ -170,10 +173,10 @@
       std::get<schedule::RequestRunning>(decoded->events[1].event);
   BOOST_TEST((running.request == expected));
   BOOST_TEST(running.server.str() == "t");
-  const auto& ended =
+  const auto& finished =
       std::get<schedule::RequestFinished>(decoded->events[4].event);
-  BOOST_TEST((ended.kind == schedule::RequestOutcome::kFailed));
-  BOOST_TEST(ended.output_tokens == 9);
+  BOOST_TEST((finished.kind == schedule::RequestOutcome::kFailed));
+  BOOST_TEST(finished.output_tokens == 9);
   BOOST_TEST(std::get<OpenRequests>(decoded->events[5].event).ids.size() == 2u);
   BOOST_TEST((decoded->answers == Sample().answers));
   BOOST_TEST((decoded->capacities == Sample().capacities));
