--- a/src/gateway/fake_table_test.h
+++ b/src/gateway/fake_table_test.h
@@ -33,7 +33,7 @@
     };
     port.poll_changes = [this, host](const std::string&, std::uint64_t since,
                                      absl::Duration wait, TableDone done) {
-      ++calls;
+      ++call_count;
       calls_.push_back({host, since, now_ + wait, now_ + wait + kAnswerMargin,
                         unresponsive, std::move(done)});
       if (cut == host) calls_.back().fails_at = now_ + kConnectTimeout;
@@ -91,7 +91,7 @@
   bool unresponsive = false;
   std::size_t cut = static_cast<std::size_t>(-1);  // Host that is cut off.
   std::set<std::size_t> refused;  // Hosts whose calls fail at once.
-  int calls = 0;
+  int call_count = 0;
 
  private:
   struct Call {
--- a/src/gateway/table_sharing_test.cc
+++ b/src/gateway/table_sharing_test.cc
@@ -210,10 +210,10 @@
 // Guards against calls to the service that grow with the number of hosts.
 BOOST_AUTO_TEST_CASE(IdleCallsDontGrowWithTheHosts) {
   SharingSite site(195, 6, 1);
-  const int before = site.table.calls;
+  const int before = site.table.call_count;
   site.Pass(absl::Minutes(1));
   // The monitor makes a call per second, the others one per half a minute.
-  BOOST_TEST(site.table.calls - before <= 60 + 30 * 3);
+  BOOST_TEST(site.table.call_count - before <= 60 + 30 * 3);
   BOOST_TEST(site.Subscribed().size() >= 6 + 3);
 }
 
--- a/src/gateway/table_subscriber.cc
+++ b/src/gateway/table_subscriber.cc
@@ -172,12 +172,12 @@
 }
 
 void TableSubscriber::RecordPeerHistory(const TableHistory& history) {
-  // Nothing changed after this host's version. Peers can vouch for that only if
-  // they have the history since then: they don't know of removals before they
-  // read the table.
-  const bool vouched =
+  // If nothing changed after this host's version, it advances to that of the
+  // peers. They can vouch for that only if they have the history since then:
+  // they don't know of removals before they read the table.
+  const bool unchanged =
       history.since <= version_ && history.newest_change <= version_;
-  if (complete_ && vouched) version_ = std::max(version_, history.version);
+  if (complete_ && unchanged) version_ = std::max(version_, history.version);
   if (history.newest_change <= peers_newest_) return;
   peers_newest_ = history.newest_change;
   if (peers_newest_ <= version_ || lag_timer_ != 0) return;
--- a/src/gateway/table_subscriber.h
+++ b/src/gateway/table_subscriber.h
@@ -3,7 +3,7 @@
 //
 // Failures: the service is unavailable for seconds or minutes, answers slowly,
 // or has dropped the history that a host still needs. A host that only waited
-// would use an old list for ever; hosts that all retried at once when the
+// would use an old copy for ever; hosts that all retried at once when the
 // service returns would be refused for their rate. So failed calls are retried
 // with a growing, randomized delay, a lost history makes the host read the
 // table again, and the present copy stays in use meanwhile.
@@ -11,8 +11,8 @@
 // An unresponsive service accepts a call and never answers it, while the
 // connection stays open. A call that waits for half a minute then hides every
 // change for that time: hosts stay on an old configuration, and the log doesn't
-// show it. So a host that has reason for doubt polls with short waits, and
-// requests a change that a peer has at once.
+// show it. So a host polls with short waits while the service may be
+// unresponsive, and soon requests a change that a peer has and it lacks.
 //
 // If hundreds of hosts polled for changes, each change would cost as many
 // calls. So one host of a zone polls and propagates changes; the others apply
--- a/src/gateway/unresponsive_table_test.cc
+++ b/src/gateway/unresponsive_table_test.cc
@@ -133,8 +133,8 @@
   few.Pass(absl::Minutes(1));
   Hosts many(50);
   many.Pass(absl::Minutes(1));
-  BOOST_TEST(few.table.calls <= 62);
-  BOOST_TEST(many.table.calls <= 62 + 50 * 4);
+  BOOST_TEST(few.table.call_count <= 62);
+  BOOST_TEST(many.table.call_count <= 62 + 50 * 4);
 }
 
 }  // namespace
