--- a/src/settings/host_settings.h
+++ b/src/settings/host_settings.h
@@ -47,7 +47,8 @@
   // Limits of the delay before a retry.
   absl::Duration min_delay = absl::Milliseconds(100);
   absl::Duration max_delay = absl::Seconds(5);
-  absl::Duration list_period = absl::Seconds(5);  // Of live and leaving hosts.
+  // How often the host reads the lists of live and leaving hosts.
+  absl::Duration list_period = absl::Seconds(5);
   bool operator==(const PlatformSettings&) const = default;
 };
 
