--- a/src/entry/config_link.cc
+++ b/src/entry/config_link.cc
@@ -43,7 +43,7 @@
 
 std::vector<EntryHostId> ConfigLink::Candidates() const {
   std::vector<EntryHostId> living;
-  for (const member::Member& member : peers_->membership().Others()) {
+  for (const member::Member& member : peers_->membership().Peers()) {
     if (member.state != member::MemberState::kDead) {
       living.push_back(member.id);
     }
--- a/src/entry/engine_client.cc
+++ b/src/entry/engine_client.cc
@@ -73,7 +73,7 @@
   if (reply.end != http::TransferEnd::kComplete) {
     return orders::OrderReply::kUnknown;
   }
-  if (reply.status / 100 == 2) return orders::OrderReply::kTaken;
+  if (reply.status / 100 == 2) return orders::OrderReply::kAccepted;
   if (reply.status == 409) return orders::OrderReply::kStaleFence;
   // A failing engine may have taken it before it failed.
   return reply.status / 100 == 4 ? orders::OrderReply::kRefused
@@ -89,7 +89,7 @@
   if (state == "running") return orders::OrderProgress::kRunning;
   if (state == "done") return orders::OrderProgress::kDone;
   if (state == "failed") return orders::OrderProgress::kFailed;
-  if (state == "unknown") return orders::OrderProgress::kNeverHeard;
+  if (state == "unknown") return orders::OrderProgress::kUnknownOrder;
   return Error{Code::kServerBroke, "no such state of an order: " + state};
 }
 
--- a/src/entry/entry_host_parts.cc
+++ b/src/entry/entry_host_parts.cc
@@ -150,7 +150,7 @@
 void EntryHost::UpdatePeers() {
   std::vector<EntryHostId> others;
   std::vector<EntryHostId> living;
-  for (const member::Member& member : peers_->membership().Others()) {
+  for (const member::Member& member : peers_->membership().Peers()) {
     others.push_back(member.id);
     bool lives = member.state != member::MemberState::kDead;
     if (lives) living.push_back(member.id);
--- a/src/entry/entry_host_rpc.cc
+++ b/src/entry/entry_host_rpc.cc
@@ -110,7 +110,7 @@
 Json::Value EntryHost::StatusOfHosts() const {
   Json::Value hosts(Json::arrayValue);
   hosts.append(MemberToJson(peers_->membership().self()));
-  for (const member::Member& member : peers_->membership().Others()) {
+  for (const member::Member& member : peers_->membership().Peers()) {
     hosts.append(MemberToJson(member));
   }
   return hosts;
@@ -163,7 +163,7 @@
   metrics_.Set("gentianlb_platform_up", "Whether the platform answers", {},
                platform_->up() ? 1 : 0);
   std::map<std::string, int> hosts;
-  for (const member::Member& member : peers_->membership().Others()) {
+  for (const member::Member& member : peers_->membership().Peers()) {
     ++hosts[std::string(StateName(member.state))];
   }
   for (const char* state : {"alive", "suspect", "dead", "leaving"}) {
--- a/src/entry/peers.cc
+++ b/src/entry/peers.cc
@@ -65,7 +65,8 @@
   membership_.Tick(loop_->now(), &out, &changes);
   Act(std::move(out), std::move(changes));
   // Vacant roles are judged by time; all else only when something has changed.
-  bool due = membership_.changes() != judged_changes_ || roles_.AnyVacant();
+  bool due =
+      membership_.change_count() != judged_changes_ || roles_.HasVacantRole();
   if (due) UpdateRoles();
 }
 
@@ -82,17 +83,17 @@
     }
     hooks_.on_member(change);
   }
-  if (membership_.newest_config() > told_config_) {
-    told_config_ = membership_.newest_config();
+  if (membership_.newest_config_version() > told_config_) {
+    told_config_ = membership_.newest_config_version();
     hooks_.on_config_news(told_config_, membership_.newest_config_host());
   }
 }
 
 void Peers::UpdateRoles() {
-  judged_changes_ = membership_.changes();
+  judged_changes_ = membership_.change_count();
   std::vector<member::RoleBoard::Change> changes =
-      roles_.Update(membership_.self(), membership_.Others(), loop_->now());
-  membership_.SetRoles(roles_.Held());
+      roles_.Update(membership_.self(), membership_.Peers(), loop_->now());
+  membership_.SetRoles(roles_.HeldRoles());
   for (const member::RoleBoard::Change& change : changes) {
     hooks_.on_role(change);
   }
@@ -114,7 +115,7 @@
 }
 
 void Peers::Broadcast(const PeerItem& item) {
-  for (const member::Member& member : membership_.Others()) {
+  for (const member::Member& member : membership_.Peers()) {
     if (member.state != member::MemberState::kDead) Send(member.id, item);
   }
 }
@@ -146,7 +147,7 @@
                    bool taken =
                        reply.end == http::TransferEnd::kComplete &&
                        reply.status == 200 &&
-                       rpc::DecodeAnswer(reply.body, &ignored).code == 0;
+                       rpc::DecodeResponse(reply.body, &ignored).code == 0;
                    loop_->Post([this, host, generation, taken] {
                      PumpEnded(host, generation, taken);
                    });
@@ -204,7 +205,7 @@
   Observe(params);
   std::vector<member::Envelope> out;
   std::vector<member::MemberChange> changes;
-  membership_.Receive(envelope.value(), loop_->now(), &out, &changes);
+  membership_.HandleEnvelope(envelope.value(), loop_->now(), &out, &changes);
   Act(std::move(out), std::move(changes));
 }
 
@@ -217,7 +218,7 @@
         std::optional<Json::Value> answer;
         Json::Value result;
         if (reply.end == http::TransferEnd::kComplete && reply.status == 200 &&
-            rpc::DecodeAnswer(reply.body, &result).code == 0) {
+            rpc::DecodeResponse(reply.body, &result).code == 0) {
           answer = std::move(result);
         }
         loop_->Post([done, answer = std::move(answer)] { done(answer); });
--- a/src/entry/wire.cc
+++ b/src/entry/wire.cc
@@ -360,7 +360,7 @@
   Json::Value json;
   json["kind"] = "ack";
   json["number"] = static_cast<Json::Int64>(ack.number);
-  json["about"] = ack.about.str();
+  json["about"] = ack.alive_host.str();
   return json;
 }
 
@@ -424,7 +424,7 @@
       [](const auto& body) { return BodyToJson(body); }, envelope.body);
   json["from"] = MemberToJson(envelope.from);
   json["to"] = envelope.to.str();
-  for (const member::Member& news : envelope.news) {
+  for (const member::Member& news : envelope.updates) {
     json["news"].append(MemberToJson(news));
   }
   return json;
@@ -440,7 +440,7 @@
   if (!news.isNull() && !news.isArray()) return Malformed("news");
   for (const Json::Value& one : news) {
     BOOST_LEAF_AUTO(member, MemberFromJson(one));
-    envelope.news.push_back(std::move(member));
+    envelope.updates.push_back(std::move(member));
   }
   return envelope;
 }
--- a/src/gentianctl/remote.cc
+++ b/src/gentianctl/remote.cc
@@ -112,7 +112,7 @@
   if (!answered) return Unreachable(remote, reply);
   if (reply.status != 200) return ReadProblem(reply);
   Json::Value result;
-  rpc::RpcError error = rpc::DecodeAnswer(reply.body, &result);
+  rpc::RpcError error = rpc::DecodeResponse(reply.body, &result);
   if (error.code != 0) return ToError(error);
   return result;
 }
--- a/src/member/member_test.cc
+++ b/src/member/member_test.cc
@@ -60,7 +60,7 @@
     int count = 0;
     for (int i = 0; i < static_cast<int>(nodes_.size()); ++i) {
       if (stopped_.contains(i)) continue;
-      if (!nodes_[i].board.Held().empty()) ++count;
+      if (!nodes_[i].board.HeldRoles().empty()) ++count;
     }
     return count;
   }
@@ -92,20 +92,20 @@
       if (stopped_.contains(i)) continue;
       Node& node = nodes_[i];
       node.membership->Tick(now_, &out, &changes);
-      node.board.Update(node.membership->self(), node.membership->Others(),
+      node.board.Update(node.membership->self(), node.membership->Peers(),
                         now_);
-      node.membership->SetRoles(node.board.Held());
+      node.membership->SetRoles(node.board.HeldRoles());
     }
     std::deque<Envelope> queue(out.begin(), out.end());
     while (!queue.empty()) {
       Envelope envelope = queue.front();
       queue.pop_front();
       ++sent_;
-      largest_news_ = std::max(largest_news_, envelope.news.size());
+      largest_news_ = std::max(largest_news_, envelope.updates.size());
       int to = Index(envelope.to);
       if (stopped_.contains(to) || Cut(Index(envelope.from.id), to)) continue;
       std::vector<Envelope> answers;
-      nodes_[to].membership->Receive(envelope, now_, &answers, &changes);
+      nodes_[to].membership->HandleEnvelope(envelope, now_, &answers, &changes);
       queue.insert(queue.end(), answers.begin(), answers.end());
     }
   }
--- a/src/member/membership.cc
+++ b/src/member/membership.cc
@@ -161,9 +161,9 @@
   });
 }
 
-void Membership::Receive(const Envelope& envelope, absl::Time now,
-                         std::vector<Envelope>* out,
-                         std::vector<MemberChange>* changes) {
+void Membership::HandleEnvelope(const Envelope& envelope, absl::Time now,
+                                std::vector<Envelope>* out,
+                                std::vector<MemberChange>* changes) {
   if (envelope.from.id == self_.id) return;
   auto known = members_.find(envelope.from.id);
   if (known != members_.end() &&
@@ -171,7 +171,7 @@
     return;
   }
   Learn(envelope.from, now, /*direct=*/true, changes);
-  for (const Member& news : envelope.news) {
+  for (const Member& news : envelope.updates) {
     Learn(news, now, /*direct=*/false, changes);
   }
   const Entry& sender = members_.at(envelope.from.id);
@@ -188,7 +188,7 @@
     return;
   }
   const auto& ack = std::get<Ack>(envelope.body);
-  if (ack.number == probe_.number && ack.about == probe_.target) {
+  if (ack.number == probe_.number && ack.alive_host == probe_.target) {
     probe_.acked = true;
   }
   auto errand = errands_.find(ack.number);
@@ -196,7 +196,7 @@
   auto asker = members_.find(errand->second.asked_by);
   if (asker != members_.end()) {
     out->push_back(
-        Write(asker->second, Ack{errand->second.asked_number, ack.about}));
+        Write(asker->second, Ack{errand->second.asked_number, ack.alive_host}));
   }
   errands_.erase(errand);
 }
@@ -271,7 +271,7 @@
                     TakeNews()};
   // The receiver must learn what is thought of it, or it could not deny it.
   if (to.heard && to.member.state != MemberState::kAlive) {
-    envelope.news.push_back(to.member);
+    envelope.updates.push_back(to.member);
   }
   return envelope;
 }
@@ -329,7 +329,7 @@
   return &found->second.member;
 }
 
-std::vector<Member> Membership::Others() const {
+std::vector<Member> Membership::Peers() const {
   std::vector<Member> others;
   for (const auto& [id, entry] : members_) {
     if (entry.heard) others.push_back(entry.member);
--- a/src/member/membership.h
+++ b/src/member/membership.h
@@ -56,8 +56,9 @@
 
   // Takes a message that has arrived. One from an earlier incarnation of its
   // sender is ignored.
-  void Receive(const Envelope& envelope, absl::Time now,
-               std::vector<Envelope>* out, std::vector<MemberChange>* changes);
+  void HandleEnvelope(const Envelope& envelope, absl::Time now,
+                      std::vector<Envelope>* out,
+                      std::vector<MemberChange>* changes);
 
   // The platform's list names a host that the settings don't.
   void AddSeed(const Seed& seed);
@@ -76,13 +77,13 @@
   const Member* Find(const EntryHostId& id) const;
 
   // All that are known but this host, by id.
-  std::vector<Member> Others() const;
+  std::vector<Member> Peers() const;
 
   // Raised whenever anything that is known of a member has changed.
-  std::uint64_t changes() const { return changes_; }
+  std::uint64_t change_count() const { return changes_; }
 
   // The highest configuration version that a member has told of, and who.
-  std::int64_t newest_config() const { return newest_config_; }
+  std::int64_t newest_config_version() const { return newest_config_; }
   const EntryHostId& newest_config_host() const { return newest_config_host_; }
 
   // When Tick() is due.
--- a/src/member/messages.h
+++ b/src/member/messages.h
@@ -48,7 +48,7 @@
 
 struct Ack {
   std::uint64_t number = 0;
-  EntryHostId about;  // Who is there: the sender, or who it asked for another.
+  EntryHostId alive_host;  // The sender, or the target of a PingRequest.
   bool operator==(const Ack&) const = default;
 };
 
@@ -65,7 +65,7 @@
   EntryHostId to;
   std::string to_address;
   std::variant<Ping, Ack, PingRequest> body;
-  std::vector<Member> news;
+  std::vector<Member> updates;
   bool operator==(const Envelope&) const = default;
 };
 
--- a/src/member/roles.cc
+++ b/src/member/roles.cc
@@ -118,13 +118,13 @@
   return found == states_.end() ? EntryHostId() : found->second.holder.host;
 }
 
-bool RoleBoard::AnyVacant() const {
+bool RoleBoard::HasVacantRole() const {
   return std::any_of(states_.begin(), states_.end(), [](const auto& state) {
     return state.second.holder.host.empty();
   });
 }
 
-std::vector<HeldRole> RoleBoard::Held() const {
+std::vector<HeldRole> RoleBoard::HeldRoles() const {
   std::vector<HeldRole> held;
   for (const auto& [role, state] : states_) {
     if (state.held_since.has_value()) held.push_back({role, *state.held_since});
--- a/src/member/roles.h
+++ b/src/member/roles.h
@@ -60,10 +60,10 @@
   EntryHostId HolderOf(const std::string& role) const;
 
   // Whether a role has no known holder, so that time alone may change it.
-  bool AnyVacant() const;
+  bool HasVacantRole() const;
 
   // What this host holds, to be announced.
-  std::vector<HeldRole> Held() const;
+  std::vector<HeldRole> HeldRoles() const;
 
  private:
   struct State {
--- a/src/orders/messages.h
+++ b/src/orders/messages.h
@@ -36,13 +36,13 @@
 };
 
 enum class OrderReply {
-  kTaken,
+  kAccepted,
   kStaleFence,  // The engine has seen a later holder.
   kRefused,     // Certainly not taken, for another reason.
   kUnknown,     // The answer was lost; it may have been taken.
 };
 
-enum class OrderProgress { kRunning, kDone, kFailed, kNeverHeard };
+enum class OrderProgress { kRunning, kDone, kFailed, kUnknownOrder };
 
 // Each call answers once, later, on the control thread; with an error when the
 // engine gave no answer in time.
--- a/src/orders/order_runner.h
+++ b/src/orders/order_runner.h
@@ -288,7 +288,7 @@
         return;
       case OrderProgress::kFailed:
         return CloseAs(work, StepState::kFailed);
-      case OrderProgress::kNeverHeard:
+      case OrderProgress::kUnknownOrder:
         work->phase = Phase::kBefore;
         return;
     }
--- a/src/orders/order_runner_test.cc
+++ b/src/orders/order_runner_test.cc
@@ -73,10 +73,10 @@
     bool checks = engine.fencing == Fencing::kChecks;
     if (checks && order.fence < engine.highest) return OrderReply::kStaleFence;
     engine.highest = std::max(engine.highest, order.fence);
-    if (engine.orders.contains(order.id)) return OrderReply::kTaken;
+    if (engine.orders.contains(order.id)) return OrderReply::kAccepted;
     engine.orders[order.id] = now + kOrderTime;
     engine.running[order.id] = order;
-    return OrderReply::kTaken;
+    return OrderReply::kAccepted;
   }
 
   store::CommitResult Commit(const store::Transaction& transaction) {
@@ -168,7 +168,7 @@
                     std::function<void(Outcome<OrderProgress>)> done) {
     const FakeEngine& engine = world->engines[server];
     auto order = engine.orders.find(id);
-    auto progress = OrderProgress::kNeverHeard;
+    auto progress = OrderProgress::kUnknownOrder;
     if (order != engine.orders.end()) {
       progress = order->second > world->now ? OrderProgress::kRunning
                                             : OrderProgress::kDone;
--- a/src/rpc/codec.cc
+++ b/src/rpc/codec.cc
@@ -54,7 +54,7 @@
   return connector.message();
 }
 
-RpcError DecodeAnswer(const std::string& answer, Json::Value* result) {
+RpcError DecodeResponse(const std::string& answer, Json::Value* result) {
   StoredConnector connector(answer);
   jsonrpc::Client client(connector);
   try {
--- a/src/rpc/codec.h
+++ b/src/rpc/codec.h
@@ -30,7 +30,7 @@
 };
 
 // Reads the answer to a call made by EncodeCall().
-RpcError DecodeAnswer(const std::string& answer, Json::Value* result);
+RpcError DecodeResponse(const std::string& answer, Json::Value* result);
 
 // Finds the method for each message and answers it. Not thread-safe: set up
 // first, then Handle() may be called from any number of threads as long as the
--- a/src/rpc/codec_test.cc
+++ b/src/rpc/codec_test.cc
@@ -15,7 +15,7 @@
   params["n"] = 21;
   Json::Value result;
   RpcError error =
-      DecodeAnswer(table.Handle(EncodeCall("double", params)), &result);
+      DecodeResponse(table.Handle(EncodeCall("double", params)), &result);
   BOOST_TEST(error.code == 0);
   BOOST_TEST(result.asInt() == 42);
 }
@@ -29,7 +29,7 @@
   params["a"] = 1;
   Json::Value result;
   RpcError error =
-      DecodeAnswer(table.Handle(EncodeCall("fail", params)), &result);
+      DecodeResponse(table.Handle(EncodeCall("fail", params)), &result);
   BOOST_TEST(error.code == 7005);
 }
 
@@ -60,7 +60,7 @@
   BOOST_TEST(answer.empty());
   kept(RpcError{0, ""}, Json::Value("done"));
   Json::Value result;
-  BOOST_TEST(DecodeAnswer(answer, &result).code == 0);
+  BOOST_TEST(DecodeResponse(answer, &result).code == 0);
   BOOST_TEST(result.asString() == "done");
 }
 
@@ -69,8 +69,8 @@
 BOOST_AUTO_TEST_CASE(GarbageIsAnsweredWithAnError) {
   MethodTable table;
   Json::Value result;
-  BOOST_TEST(DecodeAnswer(table.Handle("{nonsense"), &result).code != 0);
-  BOOST_TEST(DecodeAnswer("also nonsense", &result).code == 7002);
+  BOOST_TEST(DecodeResponse(table.Handle("{nonsense"), &result).code != 0);
+  BOOST_TEST(DecodeResponse("also nonsense", &result).code == 7002);
 }
 
 }  // namespace
