--- a/src/orders/lease.cc
+++ b/src/orders/lease.cc
@@ -10,33 +10,33 @@
 Lease::Lease(LeaseOptions options, EntryHostId self, Incarnation incarnation)
     : options_(options), self_(std::move(self)), incarnation_(incarnation) {}
 
-std::optional<LeaseCall> Lease::Next(absl::Time now) {
-  if (busy_ || now < not_before_) return std::nullopt;
-  if (known_ && Held(now)) {
+std::optional<LeaseCall> Lease::NextCall(absl::Time now) {
+  if (call_pending_ || now < not_before_) return std::nullopt;
+  if (known_ && IsHeld(now)) {
     if (now < renew_at_) return std::nullopt;
-    busy_ = true;
-    return Write(fence_, now);
+    call_pending_ = true;
+    return MakeWrite(fence_, now);
   }
-  if (known_ && Free(now)) {
-    busy_ = true;
-    return Write(row_ ? row_->fence + 1 : 1, now);
+  if (known_ && IsFree(now)) {
+    call_pending_ = true;
+    return MakeWrite(row_ ? row_->fence + 1 : 1, now);
   }
-  if (known_ && now < read_at_ + options_.read_every) return std::nullopt;
-  busy_ = true;
+  if (known_ && now < read_at_ + options_.read_period) return std::nullopt;
+  call_pending_ = true;
   return ReadLease{};
 }
 
 absl::Time Lease::NextDue(absl::Time now) const {
-  if (busy_) return absl::InfiniteFuture();
+  if (call_pending_) return absl::InfiniteFuture();
   absl::Time due = absl::InfinitePast();
-  if (known_) due = Held(now) ? renew_at_ : read_at_ + options_.read_every;
+  if (known_) due = IsHeld(now) ? renew_at_ : read_at_ + options_.read_period;
   return std::max(due, not_before_);
 }
 
 void Lease::OnRead(const store::ReadResult& result, absl::Time now) {
-  busy_ = false;
+  call_pending_ = false;
   if (!result.ok()) {
-    not_before_ = now + options_.retry_after;
+    not_before_ = now + options_.retry_delay;
     return;
   }
   known_ = true;
@@ -44,69 +44,74 @@
   if (!result.value().empty()) return OnRow(result.value().front(), now);
   row_.reset();
   corrupt_ = false;
-  version_ = 0;
-  until_ = absl::InfinitePast();
+  row_version_ = 0;
+  expires_at_ = absl::InfinitePast();
 }
 
 void Lease::OnRow(const store::Row& row, absl::Time now) {
-  // Another version, another life: counted anew from when it is first seen.
-  if (row.version != version_ || seen_since_ == absl::InfiniteFuture()) {
-    seen_since_ = now;
+  // The lease of a new version runs from the time it is first seen.
+  if (row.version != row_version_ ||
+      version_seen_at_ == absl::InfiniteFuture()) {
+    version_seen_at_ = now;
   }
-  version_ = row.version;
+  row_version_ = row.version;
   row_ = DecodeLease(row.value);
   corrupt_ = !row_.has_value();
-  // The answer to a write was lost, but it took effect.
-  if (row_ && *row_ == sent_) return Take(row.version);
-  // An earlier write of ours arrived late: the row is ours, the time as it was.
-  if (row_ && Ours(*row_)) return;
-  until_ = absl::InfinitePast();
+  // A write whose answer was lost took effect.
+  if (row_ && *row_ == sent_row_) return ApplyOwnWrite(row.version);
+  // An earlier write of this host was applied late. The host still holds the
+  // lease, and its expiry stays as it is.
+  if (row_ && IsOwnRow(*row_)) return;
+  expires_at_ = absl::InfinitePast();
 }
 
 void Lease::OnCommitted(const store::CommitResult& result, absl::Time now) {
-  busy_ = false;
+  call_pending_ = false;
   bool committed = result.state == store::CommitState::kCommitted;
   if (committed && !result.versions.empty()) {
-    seen_since_ = now;
-    row_ = sent_;
-    return Take(result.versions.front().version);
+    version_seen_at_ = now;
+    row_ = sent_row_;
+    return ApplyOwnWrite(result.versions.front().version);
   }
-  not_before_ = now + options_.retry_after;
-  // Certain that nothing changed: what is known still holds.
+  not_before_ = now + options_.retry_delay;
+  // The row has not changed, so the copy of it is still valid.
   if (result.state == store::CommitState::kNotApplied) return;
-  // The row decides who won, or whether the write took effect.
+  // Only the row shows which host holds the lease now.
   known_ = false;
 }
 
-void Lease::Take(store::RowVersion version) {
+void Lease::ApplyOwnWrite(store::RowVersion version) {
   known_ = true;
-  version_ = version;
-  if (sent_.fence != fence_) acquired_at_ = sent_at_;
-  fence_ = sent_.fence;
-  // From the sending: others saw the write later than that.
-  until_ = sent_at_ + options_.lease;
-  renew_at_ = sent_at_ + options_.renew_every;
+  row_version_ = version;
+  if (sent_row_.fence != fence_) acquired_at_ = sent_at_;
+  fence_ = sent_row_.fence;
+  // The lease counts from the sending of the write, which is earlier than any
+  // other host can see it.
+  expires_at_ = sent_at_ + options_.lease_duration;
+  renew_at_ = sent_at_ + options_.renew_period;
 }
 
-bool Lease::Free(absl::Time now) const {
-  // Without its fencing number no higher one can be given; it needs mending.
+bool Lease::IsFree(absl::Time now) const {
+  // A corrupt row shows no fencing number, so no higher one can be chosen. The
+  // row must be repaired.
   if (corrupt_) return false;
   if (!row_) return true;
-  return now >= seen_since_ + row_->lease + options_.margin;
+  return now >= version_seen_at_ + row_->lease_duration + options_.margin;
 }
 
-bool Lease::Ours(const LeaseRow& row) const {
+bool Lease::IsOwnRow(const LeaseRow& row) const {
   return row.holder == self_ && row.incarnation == incarnation_ &&
          row.fence == fence_;
 }
 
-store::Transaction Lease::Write(Fence fence, absl::Time now) {
-  sent_ = LeaseRow{self_, incarnation_, fence, options_.lease, ++serial_};
+store::Transaction Lease::MakeWrite(Fence fence, absl::Time now) {
+  sent_row_ =
+      LeaseRow{self_, incarnation_, fence, options_.lease_duration, ++serial_};
   sent_at_ = now;
   return {absl::StrCat(kLeaseKey, "/", self_.str(), "/", incarnation_, "/",
                        serial_),
-          {{kLeaseKey, version_}},
-          {{kLeaseKey, Encode(sent_)}}};
+          {{kLeaseKey, row_version_}},
+          {{kLeaseKey, Encode(sent_row_)}}};
 }
 
 }  // namespace gentianlb::orders
--- a/src/orders/lease.h
+++ b/src/orders/lease.h
@@ -1,11 +1,12 @@
-// The lease that lets one entry host give orders. No network, thread or clock:
-// `now` is always this process's monotonic time.
+// The lease that allows one entry host to send orders to backend servers. This
+// module uses no network, thread or clock: `now` is always the monotonic time
+// of this process.
 //
-// What goes wrong without it: a holder is paused, another takes over, the first
-// wakes and goes on. It notices because it counts its lease from when it sent
-// the last write that took effect, and asks Held() right before each action;
-// the others count from when they first saw that write, which is later, and add
-// a margin. So it is out, in its own eyes, before another is in.
+// The lease guards against a paused holder that continues after another host
+// has taken over. The holder counts its lease from the sending of its last
+// write that took effect, and checks IsHeld() right before each action. Other
+// hosts count from the time they first see that write, which is later, and add
+// a margin. So the holder's lease expires before another host can acquire it.
 
 #ifndef GENTIANLB_ORDERS_LEASE_H_
 #define GENTIANLB_ORDERS_LEASE_H_
@@ -21,15 +22,15 @@
 namespace gentianlb::orders {
 
 struct LeaseOptions {
-  // Orders take minutes, so a takeover may take seconds; two renewals may fail
-  // before the lease is lost for no reason.
-  absl::Duration lease = absl::Seconds(15);
-  absl::Duration renew_every = absl::Seconds(4);
-  absl::Duration read_every = absl::Seconds(3);
-  absl::Duration retry_after = absl::Seconds(1);
-  // For the time between the check and the last byte sent, and for clocks that
-  // run at unlike rates. The holder gives up so much earlier, and others wait
-  // so much longer.
+  // Orders take minutes, so a takeover may take seconds. The holder keeps the
+  // lease when two renewals in a row fail.
+  absl::Duration lease_duration = absl::Seconds(15);
+  absl::Duration renew_period = absl::Seconds(4);
+  absl::Duration read_period = absl::Seconds(3);
+  absl::Duration retry_delay = absl::Seconds(1);
+  // Covers the time from the check to the last byte sent, and clocks that run
+  // at different rates. The holder gives up this much earlier, and other hosts
+  // wait this much longer.
   absl::Duration margin = absl::Seconds(2);
   bool operator==(const LeaseOptions&) const = default;
 };
@@ -40,58 +41,66 @@
 
 using LeaseCall = std::variant<ReadLease, store::Transaction>;
 
+// Acquires and renews the lease for one entry host. Returns the table calls to
+// make and takes their results.
 class Lease {
  public:
   Lease(LeaseOptions options, EntryHostId self, Incarnation incarnation);
 
-  // What to ask of the table now, if anything; one call at a time.
-  std::optional<LeaseCall> Next(absl::Time now);
+  // Returns the table call to make now, if any. Only one call is pending at a
+  // time.
+  std::optional<LeaseCall> NextCall(absl::Time now);
+  // Returns when NextCall() may return a call; infinite while one is pending.
   absl::Time NextDue(absl::Time now) const;
 
-  // The answer to ReadLease: the row or none. An error: no answer.
+  // Handles the result of ReadLease: the row, or nothing if there is none.
   void OnRead(const store::ReadResult& result, absl::Time now);
+  // Handles the result of a transaction that NextCall() returned.
   void OnCommitted(const store::CommitResult& result, absl::Time now);
 
-  // Ask right before each action.
-  bool Held(absl::Time now) const { return now < until_ - options_.margin; }
+  // Returns whether this host holds the lease. Check right before each action.
+  bool IsHeld(absl::Time now) const {
+    return now < expires_at_ - options_.margin;
+  }
   Fence fence() const { return fence_; }
-  // When this host last took the lease; renewals don't change it.
+  // Returns when this host last acquired the lease. Renewals don't change it.
   absl::Time acquired_at() const { return acquired_at_; }
 
-  // An engine has seen a later holder, so this one is out.
+  // Gives up the lease, because an engine has seen a higher fencing number.
   void Drop() {
-    until_ = absl::InfinitePast();
+    expires_at_ = absl::InfinitePast();
     known_ = false;
-    sent_ = LeaseRow();  // Never taken up again by reading it back.
+    sent_row_ = LeaseRow();  // A later read must not restore the lease.
   }
 
  private:
-  store::Transaction Write(Fence fence, absl::Time now);
+  store::Transaction MakeWrite(Fence fence, absl::Time now);
   void OnRow(const store::Row& row, absl::Time now);
-  void Take(store::RowVersion version);
-  bool Free(absl::Time now) const;
-  // Own writes of one holding, whichever of them took effect last.
-  bool Ours(const LeaseRow& row) const;
+  // Records that the last write of this host took effect.
+  void ApplyOwnWrite(store::RowVersion version);
+  bool IsFree(absl::Time now) const;
+  // Returns whether this host wrote the row with its current fencing number.
+  bool IsOwnRow(const LeaseRow& row) const;
 
   LeaseOptions options_;
   EntryHostId self_;
   Incarnation incarnation_;
 
-  bool known_ = false;  // The fields of the row are as last read.
+  bool known_ = false;  // row_ is what the last read or write left.
   bool corrupt_ = false;
   std::optional<LeaseRow> row_;
-  store::RowVersion version_ = 0;
-  absl::Time seen_since_ = absl::InfiniteFuture();
+  store::RowVersion row_version_ = 0;
+  absl::Time version_seen_at_ = absl::InfiniteFuture();
   absl::Time read_at_ = absl::InfinitePast();
 
-  bool busy_ = false;
+  bool call_pending_ = false;
   absl::Time not_before_ = absl::InfinitePast();
   std::int64_t serial_ = 0;
-  LeaseRow sent_;
+  LeaseRow sent_row_;
   absl::Time sent_at_ = absl::InfinitePast();
 
   Fence fence_ = 0;
-  absl::Time until_ = absl::InfinitePast();
+  absl::Time expires_at_ = absl::InfinitePast();
   absl::Time renew_at_ = absl::InfinitePast();
   absl::Time acquired_at_ = absl::InfinitePast();
 };
--- a/src/orders/lease_test.cc
+++ b/src/orders/lease_test.cc
@@ -1,4 +1,5 @@
-// The lease by itself: every order of two hosts' calls, lost answers and time.
+// Explores every interleaving of two hosts' lease calls with lost answers and
+// passing time.
 
 #include "orders/lease.h"
 
@@ -14,101 +15,104 @@
 constexpr absl::Duration kTimeStep = absl::Seconds(3);
 constexpr int kDepth = 10;
 
-struct Flight {
-  LeaseCall call;
-  std::optional<store::CommitResult> committed;  // Set: took effect.
+struct PendingCall {
+  LeaseCall request;
+  // Set once the table has run the call.
+  std::optional<store::CommitResult> committed;
   std::optional<std::vector<store::Row>> read;
 };
 
-// Two hosts, one row; copied at each branch.
+// Two hosts that compete for one lease row. Each branch of the search copies
+// it.
 struct Race {
   std::array<Lease, 2> hosts = {Lease(kOptions, EntryHostId("a"), 1),
                                 Lease(kOptions, EntryHostId("b"), 1)};
-  std::array<std::optional<Flight>, 2> flights;
-  std::optional<Flight> late;  // Given up by its sender; may yet take effect.
+  std::array<std::optional<PendingCall>, 2> pending;
+  // A call that its sender has given up and that may still take effect.
+  std::optional<PendingCall> delayed;
   std::vector<store::Row> table;
   absl::Time now = absl::UnixEpoch();
 
   void Call(int host) {
-    std::optional<LeaseCall> call = hosts[host].Next(now);
-    if (call) flights[host] = Flight{*call, {}, {}};
+    std::optional<LeaseCall> call = hosts[host].NextCall(now);
+    if (call) pending[host] = PendingCall{*call, {}, {}};
   }
 
-  // The table does what the call asks.
-  void Apply(Flight* flight) {
-    if (std::holds_alternative<ReadLease>(flight->call)) {
-      flight->read = table;
+  // Runs the call against the table.
+  void Apply(PendingCall* call) {
+    if (std::holds_alternative<ReadLease>(call->request)) {
+      call->read = table;
       return;
     }
-    const auto& commit = std::get<store::Transaction>(flight->call);
+    const auto& commit = std::get<store::Transaction>(call->request);
     store::RowVersion version = table.empty() ? 0 : table[0].version;
-    flight->committed = store::CommitResult{};
-    flight->committed->state = store::CommitState::kConflict;
+    call->committed = store::CommitResult{};
+    call->committed->state = store::CommitState::kConflict;
     if (commit.conditions[0].version != version) return;
-    Fence before = table.empty() ? 0 : DecodeLease(table[0].value)->fence;
+    Fence old_fence = table.empty() ? 0 : DecodeLease(table[0].value)->fence;
     table = {{kLeaseKey, *commit.writes[0].value, version + 1}};
-    BOOST_REQUIRE_GE(DecodeLease(table[0].value)->fence, before);
-    flight->committed->state = store::CommitState::kCommitted;
-    flight->committed->versions = {{kLeaseKey, "", version + 1}};
+    BOOST_REQUIRE_GE(DecodeLease(table[0].value)->fence, old_fence);
+    call->committed->state = store::CommitState::kCommitted;
+    call->committed->versions = {{kLeaseKey, "", version + 1}};
   }
 
   void Answer(int host, bool lost) {
-    Flight flight = *flights[host];
-    flights[host].reset();
-    if (lost && !flight.read && !flight.committed) late = flight;
-    if (std::holds_alternative<ReadLease>(flight.call)) {
-      store::ReadResult none = Error{Code::kPlatformUnavailable, ""};
-      hosts[host].OnRead(lost ? none : store::ReadResult(*flight.read), now);
+    PendingCall call = *pending[host];
+    pending[host].reset();
+    if (lost && !call.read && !call.committed) delayed = call;
+    if (std::holds_alternative<ReadLease>(call.request)) {
+      store::ReadResult no_answer = Error{Code::kPlatformUnavailable, ""};
+      hosts[host].OnRead(lost ? no_answer : store::ReadResult(*call.read), now);
       return;
     }
-    hosts[host].OnCommitted(lost ? store::CommitResult{} : *flight.committed,
+    hosts[host].OnCommitted(lost ? store::CommitResult{} : *call.committed,
                             now);
   }
 
   bool Applied(int host) const {
-    return flights[host]->read || flights[host]->committed;
+    return pending[host]->read || pending[host]->committed;
   }
 
   void Finish(int host) {
     Call(host);
-    Apply(&*flights[host]);
+    Apply(&*pending[host]);
     Answer(host, false);
   }
 };
 
-struct Seen {
+struct Exploration {
   std::int64_t states = 0;
   std::int64_t takeovers = 0;
 };
 
-void Explore(const Race& race, int depth, Seen* seen) {
-  ++seen->states;
-  bool first = race.hosts[0].Held(race.now);
-  bool second = race.hosts[1].Held(race.now);
-  BOOST_REQUIRE(!(first && second));
-  if (second) ++seen->takeovers;
+void Explore(const Race& race, int depth, Exploration* exploration) {
+  ++exploration->states;
+  bool held_by_first = race.hosts[0].IsHeld(race.now);
+  bool held_by_second = race.hosts[1].IsHeld(race.now);
+  BOOST_REQUIRE(!(held_by_first && held_by_second));
+  if (held_by_second) ++exploration->takeovers;
   if (depth == 0) return;
   auto branch = [&](auto change) {
     Race next = race;
     change(&next);
-    Explore(next, depth - 1, seen);
+    Explore(next, depth - 1, exploration);
   };
   branch([](Race* next) { next->now += kTimeStep; });
-  if (race.late) {
+  if (race.delayed) {
     branch([](Race* next) {
-      next->Apply(&*next->late);
-      next->late.reset();
+      next->Apply(&*next->delayed);
+      next->delayed.reset();
     });
   }
   for (int host : {0, 1}) {
-    if (!race.flights[host]) {
+    if (!race.pending[host]) {
       Race next = race;
       next.Call(host);
-      if (next.flights[host]) Explore(next, depth - 1, seen);
+      if (next.pending[host]) Explore(next, depth - 1, exploration);
       continue;
     }
     if (!race.Applied(host)) {
-      branch([&](Race* next) { next->Apply(&*next->flights[host]); });
+      branch([&](Race* next) { next->Apply(&*next->pending[host]); });
     } else {
       branch([&](Race* next) { next->Answer(host, false); });
     }
@@ -116,37 +120,38 @@
   }
 }
 
-// Two hosts want the lease while answers are late or lost and either may stand
-// still at any point. Were both to hold it, two would order the same engines;
-// an operator would see models come and go.
+// Two hosts compete for the lease while answers are delayed or lost and either
+// host may pause at any point. If both held it, both would send orders to the
+// same engines, and models would be loaded and unloaded in turns.
 BOOST_AUTO_TEST_CASE(NeverTwoHolders) {
   Race race;
   race.Finish(0);
   race.Finish(0);
   race.now += absl::Seconds(1);
   race.Finish(1);
-  BOOST_REQUIRE(race.hosts[0].Held(race.now));
-  Seen seen;
-  Explore(race, kDepth, &seen);
-  BOOST_TEST_MESSAGE("states " << seen.states << ", held by the second in "
-                               << seen.takeovers);
-  BOOST_TEST(seen.takeovers > 0);
-  Seen from_none;
-  Explore(Race(), kDepth, &from_none);
-  BOOST_TEST(from_none.takeovers > 0);
+  BOOST_REQUIRE(race.hosts[0].IsHeld(race.now));
+  Exploration exploration;
+  Explore(race, kDepth, &exploration);
+  BOOST_TEST_MESSAGE("states " << exploration.states
+                               << ", held by the second in "
+                               << exploration.takeovers);
+  BOOST_TEST(exploration.takeovers > 0);
+  Exploration from_free_lease;
+  Explore(Race(), kDepth, &from_free_lease);
+  BOOST_TEST(from_free_lease.takeovers > 0);
 }
 
-// The answer to the write that takes the lease is lost. Without reading it back
-// the host would wait for its own lease to end, and no order would be given.
-BOOST_AUTO_TEST_CASE(LostAnswerIsReadBack) {
+// The answer to the write that acquires the lease is lost. A host that doesn't
+// read the row back waits for its own lease to expire and sends no orders.
+BOOST_AUTO_TEST_CASE(LostAnswerIsRecoveredByReading) {
   Race race;
   race.Finish(0);
   race.Call(0);
-  race.Apply(&*race.flights[0]);
+  race.Apply(&*race.pending[0]);
   race.Answer(0, true);
-  BOOST_TEST(!race.hosts[0].Held(race.now));
+  BOOST_TEST(!race.hosts[0].IsHeld(race.now));
   race.Finish(0);
-  BOOST_TEST(race.hosts[0].Held(race.now));
+  BOOST_TEST(race.hosts[0].IsHeld(race.now));
   BOOST_TEST(race.hosts[0].fence() == 1);
 }
 
--- a/src/orders/messages.h
+++ b/src/orders/messages.h
@@ -1,5 +1,5 @@
-// Orders to backend servers, and what their engines say; the wire form stands
-// in docs/PROTOCOLS.md.
+// Orders to backend servers and the replies of their engines. The wire format
+// is described in docs/PROTOCOLS.md.
 
 #ifndef GENTIANLB_ORDERS_MESSAGES_H_
 #define GENTIANLB_ORDERS_MESSAGES_H_
@@ -15,37 +15,39 @@
 
 namespace gentianlb::orders {
 
-// Grows with every holder of the lease; an engine that checks refuses a lower
-// one than the highest that it has seen.
+// A fencing number. It increases with every new holder of the lease; an engine
+// that checks it refuses numbers below the highest that it has seen.
 using Fence = std::int64_t;
 
 struct Order {
-  std::string id;  // The engine carries out the same id once.
+  std::string id;  // The engine executes each id once.
   Fence fence = 0;
   config::OrderKind kind = config::OrderKind::kLoad;
-  ModelId model;  // Of a load or unload.
+  ModelId model;  // For loads and unloads.
   schedule::ServerRole role = schedule::ServerRole::kMixed;
   bool operator==(const Order&) const = default;
 };
 
-// What an engine has loaded.
+// The models and the role of an engine.
 struct EngineState {
   std::vector<ModelId> models;
   schedule::ServerRole role = schedule::ServerRole::kMixed;
   bool operator==(const EngineState&) const = default;
 };
 
+// The reply of an engine to an order.
 enum class OrderReply {
   kAccepted,
-  kStaleFence,  // The engine has seen a later holder.
-  kRefused,     // Certainly not taken, for another reason.
-  kUnknown,     // The answer was lost; it may have been taken.
+  kStaleFence,  // The engine has seen a higher fencing number.
+  kRefused,     // Certainly not accepted, for another reason.
+  kUnknown,     // The reply was lost; the order may have been accepted.
 };
 
 enum class OrderProgress { kRunning, kDone, kFailed, kUnknownOrder };
 
-// Each call answers once, later, on the control thread; with an error when the
-// engine gave no answer in time.
+// Calls to the engines. Each call runs its callback once, later, on the control
+// thread. If the engine does not respond in time, ReadState and ReadProgress
+// give an error and SendOrder gives kUnknown.
 template <typename E>
 concept EngineService =
     requires(E engine, ServerId server, Order order, std::string id,
--- a/src/orders/order_runner.h
+++ b/src/orders/order_runner.h
@@ -1,18 +1,19 @@
-// Brings the backend servers to what the configuration in force says: the lease
-// and the sequence, wired to a table service and to the engines. Every entry
-// host has one; the lease's holder acts, the others only watch the lease.
+// Sends orders to the backend servers until they match the configuration in
+// force. Connects the lease and the sequence of steps to a table service and to
+// the engines. Every entry host has one; only the holder of the lease sends
+// orders, the other hosts monitor the lease.
 //
-// To wire it: construct it with the table, an EngineService and a monotonic
-// clock; SetConfig() with each version that comes into force; call Tick() when
-// NextDue() has come, and again after each answer of a service (NextDue() is
-// then in the past). Owned by the control thread; nothing here blocks. The
-// services answer no more once this object is gone.
+// Usage: construct it with the table, an EngineService and a monotonic clock.
+// Call SetConfig() with each version that comes into force. Call Tick() when
+// NextDue() has passed, and after each answer of a service (NextDue() is then
+// in the past). The control thread owns it and no call blocks. The services
+// must run no callback after its destruction.
 //
-// The way of a step, the same for who began it and for who takes it over:
-//   row written as open -> what does the engine say of the order? (kAsk)
-//     never heard of it -> state before (kBefore) -> order sent (kSend) -> kAsk
-//     done              -> state after (kVerify) -> row closed (kClose)
-// An answer that is lost at any point leads back to kAsk, not to a guess.
+// A step takes this path, also when a new holder of the lease continues it:
+//   row written as open -> kReadProgress: the engine reports on the order
+//     unknown -> kReadState -> kSendOrder -> kReadProgress
+//     done    -> kVerify: state read again -> kClose: row closed
+// A lost answer at any point leads back to kReadProgress, not to a guess.
 
 #ifndef GENTIANLB_ORDERS_ORDER_RUNNER_H_
 #define GENTIANLB_ORDERS_ORDER_RUNNER_H_
@@ -36,29 +37,31 @@
 struct RunnerOptions {
   LeaseOptions lease;
   SequenceOptions sequence;
-  absl::Duration look_every = absl::Seconds(4);  // Below SequenceOptions.fresh.
-  absl::Duration poll_every = absl::Seconds(2);
-  // After a step that failed: the weight store may be over its rate.
-  absl::Duration retry_after = absl::Seconds(30);
-  // Of any holder's lease, for engines that ignore fencing; at least as long as
-  // any host's setting.
-  absl::Duration longest_lease = absl::Seconds(15);
-  // Longest that an order takes from its sending to its effect. An engine that
-  // ignores fencing gets none from a new holder before the old one's are over.
-  absl::Duration longest_order = absl::Minutes(10);
+  // Shorter than SequenceOptions::max_age.
+  absl::Duration state_interval = absl::Seconds(4);
+  absl::Duration poll_interval = absl::Seconds(2);
+  // The wait after a failed step: the weight store may be over its rate.
+  absl::Duration retry_delay = absl::Seconds(30);
+  // An upper bound of the lease duration on all hosts, for engines that ignore
+  // fencing.
+  absl::Duration max_lease_duration = absl::Seconds(15);
+  // The maximum time from the sending of an order to its effect. A new holder
+  // sends no order to an engine that ignores fencing until the orders of the
+  // old holder are finished.
+  absl::Duration max_order_duration = absl::Minutes(10);
   bool operator==(const RunnerOptions&) const = default;
 };
 
 struct RunnerCounters {
-  std::int64_t acquired = 0;  // Leases taken.
-  std::int64_t sent = 0;
-  std::int64_t stale = 0;  // Refused by an engine: another host is in charge.
-  std::int64_t done = 0;
-  std::int64_t failed = 0;
-  std::int64_t corrupt = 0;  // Rows that can't be read; their servers wait.
-  int held_back = 0;         // Steps that wait for now.
-  int open = 0;
-  bool holder = false;
+  std::int64_t acquired = 0;  // Leases acquired.
+  std::int64_t sent = 0;      // Orders sent.
+  std::int64_t stale = 0;    // Orders that an engine refused for a stale fence.
+  std::int64_t done = 0;     // Steps closed as done.
+  std::int64_t failed = 0;   // Steps closed as failed.
+  std::int64_t corrupt = 0;  // Unreadable rows; their servers get no orders.
+  int held_back = 0;         // Steps that are required but not yet allowed.
+  int open = 0;              // Open steps.
+  bool holder = false;       // This host holds the lease.
   bool operator==(const RunnerCounters&) const = default;
 };
 
@@ -84,73 +87,78 @@
   OrderRunner(const OrderRunner&) = delete;
   OrderRunner& operator=(const OrderRunner&) = delete;
 
+  // Sets the configuration in force; Tick() is due afterwards.
   void SetConfig(std::shared_ptr<const config::Configuration> configuration) {
     configuration_ = std::move(configuration);
-    answered_ = true;
+    tick_due_ = true;
   }
 
+  // Makes the calls to the table and the engines that are due.
   void Tick() {
-    answered_ = false;
+    tick_due_ = false;
     TickLease();
-    counters_.holder = lease_.Held(now_());
+    counters_.holder = lease_.IsHeld(now_());
     if (!counters_.holder || configuration_ == nullptr) return;
-    if (holding_ != lease_.fence()) BeginHolding();
+    if (lease_fence_ != lease_.fence()) OnLeaseAcquired();
     if (!scanned_) return Scan();
     for (const config::ServerConfig& server : configuration_->servers) {
-      if (TakesOrders(*configuration_, server)) Advance(server);
+      if (AcceptsOrders(*configuration_, server)) Advance(server);
     }
     StartSteps();
   }
 
+  // Returns when Tick() is due.
   absl::Time NextDue() const {
-    if (answered_) return absl::InfinitePast();
+    if (tick_due_) return absl::InfinitePast();
     absl::Time now = now_();
-    // Nothing under way needs a finer step than the polls.
-    absl::Time due =
-        counters_.holder ? now + options_.poll_every : absl::InfiniteFuture();
+    // No open step needs a shorter interval than the polls.
+    absl::Time due = counters_.holder ? now + options_.poll_interval
+                                      : absl::InfiniteFuture();
     return std::min(due, lease_.NextDue(now));
   }
 
   const RunnerCounters& counters() const { return counters_; }
 
  private:
-  enum class Phase { kAsk, kBefore, kSend, kVerify, kClose };
+  enum class Phase { kReadProgress, kReadState, kSendOrder, kVerify, kClose };
 
-  struct Work {
-    Phase phase = Phase::kAsk;
+  // The next action at one server.
+  struct ServerTask {
+    Phase phase = Phase::kReadProgress;
     bool busy = false;
     absl::Time due = absl::InfinitePast();
-    store::RowVersion version = 0;  // Of the step's row.
-    StepState closing = StepState::kDone;
-    bool checks = true;  // The engine checks fencing numbers.
+    store::RowVersion version = 0;  // The version of the step's row.
+    StepState final_state = StepState::kDone;
+    bool checks_fence = true;  // The engine checks fencing numbers.
   };
 
   void TickLease() {
-    std::optional<LeaseCall> call = lease_.Next(now_());
+    std::optional<LeaseCall> call = lease_.NextCall(now_());
     if (!call) return;
     if (std::holds_alternative<ReadLease>(*call)) {
       table_->Read({kLeaseKey}, [this](store::ReadResult result) {
         lease_.OnRead(result, now_());
-        answered_ = true;
+        tick_due_ = true;
       });
       return;
     }
     table_->Commit(std::get<store::Transaction>(*call),
                    [this](store::CommitResult result) {
                      lease_.OnCommitted(result, now_());
-                     answered_ = true;
+                     tick_due_ = true;
                    });
   }
 
-  // Forgets all that an earlier holding believed: others may have acted since.
-  void BeginHolding() {
-    holding_ = lease_.fence();
+  // Discards the state of an earlier lease: other hosts may have sent orders
+  // since.
+  void OnLeaseAcquired() {
+    lease_fence_ = lease_.fence();
     ++counters_.acquired;
     scanned_ = false;
     scanning_ = false;
-    ++round_;
+    ++generation_;
     views_.clear();
-    works_.clear();
+    tasks_.clear();
   }
 
   void Scan() {
@@ -158,36 +166,38 @@
     scanning_ = true;
     table_->Scan(kStepPrefix, Guard([this](store::ReadResult result) {
                    scanning_ = false;
-                   scan_due_ = now_() + options_.lease.retry_after;
+                   scan_due_ = now_() + options_.lease.retry_delay;
                    if (result.ok()) OnScan(result.value());
                  }));
   }
 
   void OnScan(const std::vector<store::Row>& rows) {
     scanned_ = true;
-    ++round_;  // Answers to what was asked before don't count any more.
-    works_.clear();
+    ++generation_;  // Drops the answers to earlier calls.
+    tasks_.clear();
     for (const store::Row& row : rows) {
       ServerId server(row.key.substr(std::string_view(kStepPrefix).size()));
-      works_[server].version = row.version;
+      tasks_[server].version = row.version;
       ServerView& view = views_[server];
       view.step = DecodeStep(row.value);
       if (view.step) newest_ = std::max(newest_, view.step->version);
       if (view.step) continue;
-      // What is under way there can't be known, so nothing is begun.
+      // Orders may be running at this server, so no step starts there.
       view.not_before = absl::InfiniteFuture();
       ++counters_.corrupt;
     }
   }
 
-  // An answer that outlives the holding or a rescan is dropped.
+  // Wraps a callback so that answers from before a new lease or scan are
+  // dropped.
   template <typename F>
   auto Guard(F body) {
-    return [this, round = round_, body = std::move(body)](auto result) {
-      if (round != round_) return;
-      answered_ = true;
-      body(std::move(result));
-    };
+    return
+        [this, generation = generation_, body = std::move(body)](auto result) {
+          if (generation != generation_) return;
+          tick_due_ = true;
+          body(std::move(result));
+        };
   }
 
   bool IsOpen(const ServerId& server) {
@@ -197,158 +207,160 @@
 
   void Advance(const config::ServerConfig& server) {
     const ServerId& id = server.spec.id;
-    Work& work = works_[id];
-    work.checks = server.fencing == config::Fencing::kChecks;
-    if (work.busy || now_() < work.due) return;
-    if (!IsOpen(id)) return Look(id, Phase::kAsk);
-    // An engine that ignores fencing may still be carrying out, or receiving,
-    // orders of the old holder; what it says before they are over is no proof.
-    if (now_() < QuietUntil(work)) return;
-    switch (work.phase) {
-      case Phase::kAsk:
-        return Ask(id);
-      case Phase::kBefore:
+    ServerTask& task = tasks_[id];
+    task.checks_fence = server.fencing == config::Fencing::kChecks;
+    if (task.busy || now_() < task.due) return;
+    if (!IsOpen(id)) return ReadState(id, Phase::kReadProgress);
+    // An engine that ignores fencing may still receive or execute orders of the
+    // old holder. What it reports before they are finished is not reliable.
+    if (now_() < OldOrdersEnd(task)) return;
+    switch (task.phase) {
+      case Phase::kReadProgress:
+        return ReadProgress(id);
+      case Phase::kReadState:
       case Phase::kVerify:
-        return Look(id, work.phase);
-      case Phase::kSend:
-        return Send(id);
+        return ReadState(id, task.phase);
+      case Phase::kSendOrder:
+        return SendOrder(id);
       case Phase::kClose:
-        return Close(id);
+        return CloseStep(id);
     }
   }
 
-  absl::Time QuietUntil(const Work& work) const {
-    if (work.checks) return absl::InfinitePast();
-    return lease_.acquired_at() + options_.longest_lease +
-           options_.longest_order;
+  // Returns when the orders of an earlier holder are surely finished.
+  absl::Time OldOrdersEnd(const ServerTask& task) const {
+    if (task.checks_fence) return absl::InfinitePast();
+    return lease_.acquired_at() + options_.max_lease_duration +
+           options_.max_order_duration;
   }
 
-  // Sees what the engine has loaded; in a step, judges it.
-  void Look(const ServerId& id, Phase phase) {
-    works_[id].busy = true;
-    absl::Time asked = now_();
+  // Reads what the engine has loaded. For an open step, OnReadState() also
+  // checks whether the step took effect.
+  void ReadState(const ServerId& id, Phase phase) {
+    tasks_[id].busy = true;
+    absl::Time requested_at = now_();
     engine_->ReadState(
-        id, Guard([this, id, phase, asked](Outcome<EngineState> result) {
-          OnLooked(id, phase, asked, result);
+        id, Guard([this, id, phase, requested_at](Outcome<EngineState> result) {
+          OnReadState(id, phase, requested_at, result);
         }));
   }
 
-  void OnLooked(const ServerId& id, Phase phase, absl::Time asked,
-                const Outcome<EngineState>& result) {
-    Work& work = works_[id];
+  void OnReadState(const ServerId& id, Phase phase, absl::Time requested_at,
+                   const Outcome<EngineState>& result) {
+    ServerTask& task = tasks_[id];
     ServerView& view = views_[id];
-    work.busy = false;
+    task.busy = false;
     view.state.reset();
     CountFailure(&view, result.ok());
     if (result.ok()) view.state = result.value();
-    view.seen = asked;
+    view.read_at = requested_at;
     bool idle = !IsOpen(id);
-    if (idle) work.due = now_() + options_.look_every;
+    if (idle) task.due = now_() + options_.state_interval;
     if (idle) return;
-    if (!view.state) return AskLater(&work);
+    if (!view.state) return PollLater(&task);
     if (TookEffect(*view.step, *view.state)) {
-      return CloseAs(&work, StepState::kDone);
+      return CloseAs(&task, StepState::kDone);
     }
-    if (phase == Phase::kVerify) return CloseAs(&work, StepState::kFailed);
-    work.phase = Phase::kSend;
+    if (phase == Phase::kVerify) return CloseAs(&task, StepState::kFailed);
+    task.phase = Phase::kSendOrder;
   }
 
-  static void CountFailure(ServerView* view, bool answered) {
-    view->failures = answered ? 0 : view->failures + 1;
+  static void CountFailure(ServerView* view, bool responded) {
+    view->consecutive_failures = responded ? 0 : view->consecutive_failures + 1;
   }
 
-  void AskLater(Work* work) {
-    work->phase = Phase::kAsk;
-    work->due = now_() + options_.poll_every;
+  void PollLater(ServerTask* task) {
+    task->phase = Phase::kReadProgress;
+    task->due = now_() + options_.poll_interval;
   }
 
-  void CloseAs(Work* work, StepState state) {
-    work->phase = Phase::kClose;
-    work->closing = state;
-    work->due = absl::InfinitePast();
+  void CloseAs(ServerTask* task, StepState state) {
+    task->phase = Phase::kClose;
+    task->final_state = state;
+    task->due = absl::InfinitePast();
   }
 
-  void Ask(const ServerId& id) {
-    works_[id].busy = true;
+  void ReadProgress(const ServerId& id) {
+    tasks_[id].busy = true;
     engine_->ReadProgress(id, views_[id].step->order,
                           Guard([this, id](Outcome<OrderProgress> result) {
                             CountFailure(&views_[id], result.ok());
-                            OnProgress(&works_[id], result);
+                            OnProgress(&tasks_[id], result);
                           }));
   }
 
-  void OnProgress(Work* work, const Outcome<OrderProgress>& result) {
-    work->busy = false;
-    if (!result.ok()) return AskLater(work);
+  void OnProgress(ServerTask* task, const Outcome<OrderProgress>& result) {
+    task->busy = false;
+    if (!result.ok()) return PollLater(task);
     switch (result.value()) {
       case OrderProgress::kRunning:
-        return AskLater(work);
+        return PollLater(task);
       case OrderProgress::kDone:
-        work->phase = Phase::kVerify;
+        task->phase = Phase::kVerify;
         return;
       case OrderProgress::kFailed:
-        return CloseAs(work, StepState::kFailed);
+        return CloseAs(task, StepState::kFailed);
       case OrderProgress::kUnknownOrder:
-        work->phase = Phase::kBefore;
+        task->phase = Phase::kReadState;
         return;
     }
   }
 
-  void Send(const ServerId& id) {
-    Work& work = works_[id];
+  void SendOrder(const ServerId& id) {
+    ServerTask& task = tasks_[id];
     const StepRow& row = *views_[id].step;
-    // Other servers may have gone since the row was written.
-    if (!configuration_ ||
-        !Safe({id, row}, *configuration_, views_, options_.sequence, now_())) {
-      return AskLater(&work);
+    // Other servers may have become unavailable since the row was written.
+    if (!configuration_ || !IsSafe({id, row}, *configuration_, views_,
+                                   options_.sequence, now_())) {
+      return PollLater(&task);
     }
-    // Last of all: the host may have been frozen at any point above.
-    if (!lease_.Held(now_())) return;
-    work.busy = true;
+    // This check comes last, because the host may have been paused above.
+    if (!lease_.IsHeld(now_())) return;
+    task.busy = true;
     ++counters_.sent;
     engine_->SendOrder(
         id, {row.order, lease_.fence(), row.kind, row.model, row.role},
-        Guard([this, id](OrderReply reply) { OnReply(&works_[id], reply); }));
+        Guard([this, id](OrderReply reply) { OnReply(&tasks_[id], reply); }));
   }
 
-  void OnReply(Work* work, OrderReply reply) {
-    work->busy = false;
-    if (reply == OrderReply::kRefused) return CloseAs(work, StepState::kFailed);
-    AskLater(work);
+  void OnReply(ServerTask* task, OrderReply reply) {
+    task->busy = false;
+    if (reply == OrderReply::kRefused) return CloseAs(task, StepState::kFailed);
+    PollLater(task);
     if (reply != OrderReply::kStaleFence) return;
     ++counters_.stale;
     lease_.Drop();
   }
 
-  void Close(const ServerId& id) {
+  void CloseStep(const ServerId& id) {
     StepRow row = *views_[id].step;
-    row.state = works_[id].closing;
-    Write(id, std::move(row));
+    row.state = tasks_[id].final_state;
+    WriteRow(id, std::move(row));
   }
 
   void StartSteps() {
-    // A row that is being written counts as no step yet; another beside it
-    // could overrun the bounds.
-    if (!scanned_ || writing_ > 0) return;
-    // An earlier holder knew a later configuration; going by an older one would
-    // undo its steps. The news is on its way.
+    // A step whose row is being written isn't counted yet, so starting another
+    // could exceed the limits.
+    if (!scanned_ || pending_writes_ > 0) return;
+    // An earlier holder acted on a newer configuration. Steps for an older one
+    // would undo it, so this host waits until it receives the newer one.
     if (configuration_->version < newest_) return;
     for (const config::ServerConfig& server : configuration_->servers) {
       ServerView& view = views_[server.spec.id];
       view.not_before =
-          std::max(view.not_before, QuietUntil(works_[server.spec.id]));
+          std::max(view.not_before, OldOrdersEnd(tasks_[server.spec.id]));
     }
-    Startable startable =
+    StartableSteps startable =
         NextSteps(*configuration_, views_, options_.sequence, now_());
     counters_.held_back = startable.held_back;
-    counters_.open = CountOpen();
+    counters_.open = CountOpenSteps();
     for (Step& step : startable.steps) {
-      if (works_[step.server].busy) continue;
-      Write(step.server, std::move(step.row));
+      if (tasks_[step.server].busy) continue;
+      WriteRow(step.server, std::move(step.row));
     }
   }
 
-  int CountOpen() {
+  int CountOpenSteps() {
     int open = 0;
     for (const auto& [server, view] : views_) {
       if (view.step && view.step->state == StepState::kOpen) ++open;
@@ -356,51 +368,52 @@
     return open;
   }
 
-  void Write(const ServerId& id, StepRow row) {
-    Work& work = works_[id];
-    if (!lease_.Held(now_())) return;
-    work.busy = true;
-    ++writing_;
+  void WriteRow(const ServerId& id, StepRow row) {
+    ServerTask& task = tasks_[id];
+    if (!lease_.IsHeld(now_())) return;
+    task.busy = true;
+    ++pending_writes_;
     row.fence = lease_.fence();
     store::Transaction transaction{
-        absl::StrCat("orders/", self_.str(), "/", incarnation_, "/", ++token_),
-        {{StepKey(id), work.version}},
+        absl::StrCat("orders/", self_.str(), "/", incarnation_, "/",
+                     ++last_write_number_),
+        {{StepKey(id), task.version}},
         {{StepKey(id), Encode(row)}}};
-    auto answered = Guard([this, id, row](store::CommitResult result) {
+    auto on_written = Guard([this, id, row](store::CommitResult result) {
       OnWritten(id, row, result);
     });
-    table_->Commit(transaction, [this, answered](store::CommitResult result) {
-      --writing_;
-      answered(std::move(result));
+    table_->Commit(transaction, [this, on_written](store::CommitResult result) {
+      --pending_writes_;
+      on_written(std::move(result));
     });
   }
 
   void OnWritten(const ServerId& id, const StepRow& row,
                  const store::CommitResult& result) {
-    Work& work = works_[id];
-    work.busy = false;
+    ServerTask& task = tasks_[id];
+    task.busy = false;
     if (result.state == store::CommitState::kNotApplied) {
-      work.due = now_() + options_.lease.retry_after;
+      task.due = now_() + options_.lease.retry_delay;
       return;
     }
     if (result.state != store::CommitState::kCommitted ||
         result.versions.empty()) {
-      // Lost, or another holder's row: only the table knows what stands there.
+      // The answer was lost or another holder wrote the row: scan again.
       scanned_ = false;
       return;
     }
-    work.version = result.versions.front().version;
-    work.phase = Phase::kAsk;
-    work.due = absl::InfinitePast();
+    task.version = result.versions.front().version;
+    task.phase = Phase::kReadProgress;
+    task.due = absl::InfinitePast();
     views_[id].step = row;
-    OnState(id, row.state);
+    RecordStepResult(id, row.state);
   }
 
-  void OnState(const ServerId& id, StepState state) {
+  void RecordStepResult(const ServerId& id, StepState state) {
     if (state == StepState::kDone) ++counters_.done;
     if (state != StepState::kFailed) return;
     ++counters_.failed;
-    views_[id].not_before = now_() + options_.retry_after;
+    views_[id].not_before = now_() + options_.retry_delay;
   }
 
   const RunnerOptions options_;
@@ -412,17 +425,17 @@
   Lease lease_;
   std::shared_ptr<const config::Configuration> configuration_;
 
-  Fence holding_ = 0;  // The fencing number under which the rest was learnt.
-  std::int64_t round_ = 0;
+  Fence lease_fence_ = 0;  // The lease under which the state below was read.
+  std::int64_t generation_ = 0;
   bool scanned_ = false;
   bool scanning_ = false;
-  config::Version newest_ = 0;  // That any holder has acted on.
+  config::Version newest_ = 0;  // The newest that any holder acted on.
   absl::Time scan_due_ = absl::InfinitePast();
   Views views_;
-  std::map<ServerId, Work> works_;
-  int writing_ = 0;
-  std::int64_t token_ = 0;
-  bool answered_ = false;
+  std::map<ServerId, ServerTask> tasks_;
+  int pending_writes_ = 0;
+  std::int64_t last_write_number_ = 0;
+  bool tick_due_ = false;
   RunnerCounters counters_;
 };
 
--- a/src/orders/rows.cc
+++ b/src/orders/rows.cc
@@ -7,8 +7,8 @@
 namespace gentianlb::orders {
 namespace {
 
-// Whether the field holds one of the values of an enum of three.
-bool IsOneOfThree(const Json::Value& json) {
+// Returns whether the field holds a value of an enum with three values.
+bool IsEnumOfThree(const Json::Value& json) {
   return json.isInt() && json.asInt() >= 0 && json.asInt() < 3;
 }
 
@@ -23,7 +23,7 @@
   json["holder"] = row.holder.str();
   json["incarnation"] = Json::Int64{row.incarnation};
   json["fence"] = Json::Int64{row.fence};
-  json["lease_ms"] = Json::Int64{absl::ToInt64Milliseconds(row.lease)};
+  json["lease_ms"] = Json::Int64{absl::ToInt64Milliseconds(row.lease_duration)};
   json["serial"] = Json::Int64{row.serial};
   return ToText(json);
 }
@@ -44,10 +44,10 @@
 std::optional<LeaseRow> DecodeLease(std::string_view value) {
   std::optional<Json::Value> json = ParseObject(value);
   if (!json) return std::nullopt;
-  bool whole =
+  bool valid =
       AllStrings(*json, {"holder"}) &&
       AllIntegers(*json, {"incarnation", "fence", "lease_ms", "serial"});
-  if (!whole) return std::nullopt;
+  if (!valid) return std::nullopt;
   return LeaseRow{EntryHostId((*json)["holder"].asString()),
                   (*json)["incarnation"].asInt64(), (*json)["fence"].asInt64(),
                   absl::Milliseconds((*json)["lease_ms"].asInt64()),
@@ -57,11 +57,12 @@
 std::optional<StepRow> DecodeStep(std::string_view value) {
   std::optional<Json::Value> json = ParseObject(value);
   if (!json) return std::nullopt;
-  bool whole = AllStrings(*json, {"order", "model"}) &&
+  bool valid = AllStrings(*json, {"order", "model"}) &&
                AllIntegers(*json, {"version", "fence"}) &&
-               (*json)["attempt"].isInt() && IsOneOfThree((*json)["kind"]) &&
-               IsOneOfThree((*json)["role"]) && IsOneOfThree((*json)["state"]);
-  if (!whole) return std::nullopt;
+               (*json)["attempt"].isInt() && IsEnumOfThree((*json)["kind"]) &&
+               IsEnumOfThree((*json)["role"]) &&
+               IsEnumOfThree((*json)["state"]);
+  if (!valid) return std::nullopt;
   StepRow row;
   row.order = (*json)["order"].asString();
   row.kind = static_cast<config::OrderKind>((*json)["kind"].asInt());
--- a/src/orders/sequence.cc
+++ b/src/orders/sequence.cc
@@ -23,25 +23,31 @@
 
 bool IsLoad(const StepRow& step) { return step.kind == OrderKind::kLoad; }
 
-// A server of this role does the phase. `without` is the role that can't.
-bool Does(ServerRole role, ServerRole without) { return role != without; }
-
-// Whether `view` can be counted on to serve the model, in the phase that a
-// server of role `without` lacks.
-bool Serves(const ServerView& view, const ModelId& model, ServerRole without,
-            const SequenceOptions& options, absl::Time now) {
-  if (!view.state || now > view.seen + options.fresh) return false;
-  // Its row can't be read, so anything may be under way.
+// Returns whether a server of this role performs the phase that servers of
+// `incapable_role` don't perform.
+bool Performs(ServerRole role, ServerRole incapable_role) {
+  return role != incapable_role;
+}
+
+// Returns whether the server can be relied on to serve the model in the phase
+// that servers of `incapable_role` don't perform.
+bool CanServe(const ServerView& view, const ModelId& model,
+              ServerRole incapable_role, const SequenceOptions& options,
+              absl::Time now) {
+  if (!view.state || now > view.read_at + options.max_age) return false;
+  // Its step row is unreadable, so any order may be running.
   if (view.not_before == absl::InfiniteFuture()) return false;
-  // A step under way may take the model, or the server, away.
+  // An open step may remove the model or interrupt the server.
   if (IsOpen(view) && !IsLoad(*view.step)) return false;
-  return Contains(view.state->models, model) && Does(view.state->role, without);
+  return Contains(view.state->models, model) &&
+         Performs(view.state->role, incapable_role);
 }
 
-int CountOthers(const config::ServerConfig& server,
-                const config::Configuration& configuration, const Views& views,
-                const ModelId& model, ServerRole without,
-                const SequenceOptions& options, absl::Time now) {
+int CountOtherServers(const config::ServerConfig& server,
+                      const config::Configuration& configuration,
+                      const Views& views, const ModelId& model,
+                      ServerRole incapable_role, const SequenceOptions& options,
+                      absl::Time now) {
   int count = 0;
   for (const config::ServerConfig& other : configuration.servers) {
     if (other.spec.id == server.spec.id || other.zone != server.zone ||
@@ -50,34 +56,35 @@
     }
     auto view = views.find(other.spec.id);
     if (view == views.end()) continue;
-    if (Serves(view->second, model, without, options, now)) ++count;
+    if (CanServe(view->second, model, incapable_role, options, now)) ++count;
   }
   return count;
 }
 
-bool Promised(const config::ModelConfig& model,
-              const config::ServerConfig& server) {
+bool IsOfferedIn(const config::ModelConfig& model,
+                 const config::ServerConfig& server) {
   if (model.service != server.service) return false;
   return model.zones.empty() ||
          std::find(model.zones.begin(), model.zones.end(), server.zone) !=
              model.zones.end();
 }
 
-// Models that the step takes away, at least for a while.
-bool Touches(const StepRow& step, const ModelId& model) {
+// Returns whether the step makes the model unavailable, at least for a while.
+bool Disrupts(const StepRow& step, const ModelId& model) {
   return step.kind == OrderKind::kRole || step.model == model;
 }
 
-const config::ServerConfig* Find(const config::Configuration& configuration,
-                                 const ServerId& server) {
-  for (const config::ServerConfig& one : configuration.servers) {
-    if (one.spec.id == server) return &one;
+const config::ServerConfig* FindServer(
+    const config::Configuration& configuration, const ServerId& server) {
+  for (const config::ServerConfig& candidate : configuration.servers) {
+    if (candidate.spec.id == server) return &candidate;
   }
   return nullptr;
 }
 
-// The same server, version, step and attempt give the same id, whoever derives
-// it, so that an order sent twice is carried out once.
+// Returns the id of the step's order. All hosts derive the same id from the
+// same server, version, step and attempt, so an order sent twice is executed
+// once.
 std::string OrderId(const ServerId& server, const StepRow& step) {
   std::string text = absl::StrCat(
       server.str().size(), ":", server.str(), "/", step.version, "/",
@@ -87,17 +94,17 @@
   return absl::StrFormat("%016x%016x", hash.high64, hash.low64);
 }
 
-// A step that already ran under this version, and is wanted again, needs a new
-// id, or the engine would take it for done.
+// Returns the attempt number of a step. A step that is repeated under the same
+// version needs a new order id, or the engine would report it as done already.
 int NextAttempt(const std::optional<StepRow>& last, const StepRow& step) {
-  bool again = last && last->version == step.version &&
-               last->kind == step.kind && last->model == step.model &&
-               last->role == step.role;
-  return again ? last->attempt + 1 : 0;
+  bool repeated = last && last->version == step.version &&
+                  last->kind == step.kind && last->model == step.model &&
+                  last->role == step.role;
+  return repeated ? last->attempt + 1 : 0;
 }
 
-// What is under way, against the bounds on the whole site.
-struct UnderWay {
+// The open steps, which count against the limits of the whole site.
+struct OpenSteps {
   int loads = 0;
   bool disruptive = false;
 
@@ -108,38 +115,38 @@
       disruptive = true;
     }
   }
-  bool LeavesRoom(const StepRow& step, const SequenceOptions& options) const {
+  bool Allows(const StepRow& step, const SequenceOptions& options) const {
     return IsLoad(step) ? loads < options.max_loads : !disruptive;
   }
 };
 
-// Of servers that are configured and answer. One that is dead for good would
-// hold up the whole site; and it isn't counted on either, so nothing is lost.
-UnderWay CountOpen(const config::Configuration& configuration,
-                   const Views& views, const SequenceOptions& options) {
-  UnderWay under_way;
+// Counts the open steps of servers that are configured and answer. A dead
+// server would block the whole site; the rules don't rely on it either.
+OpenSteps CountOpenSteps(const config::Configuration& configuration,
+                         const Views& views, const SequenceOptions& options) {
+  OpenSteps open_steps;
   for (const config::ServerConfig& server : configuration.servers) {
     auto view = views.find(server.spec.id);
     if (view == views.end() || !IsOpen(view->second)) continue;
-    if (view->second.failures >= options.silent_after) continue;
-    under_way.Add(*view->second.step);
+    if (view->second.consecutive_failures >= options.max_failures) continue;
+    open_steps.Add(*view->second.step);
   }
-  return under_way;
+  return open_steps;
 }
 
 }  // namespace
 
-bool TakesOrders(const config::Configuration& configuration,
-                 const config::ServerConfig& server) {
-  for (const config::ServiceConfig& one : configuration.services) {
-    if (one.id != server.service) continue;
-    return one.kind == config::ServiceKind::kModel;
+bool AcceptsOrders(const config::Configuration& configuration,
+                   const config::ServerConfig& server) {
+  for (const config::ServiceConfig& service : configuration.services) {
+    if (service.id != server.service) continue;
+    return service.kind == config::ServiceKind::kModel;
   }
   return false;
 }
 
-std::vector<StepRow> Differences(const config::ServerConfig& wanted,
-                                 const EngineState& state) {
+std::vector<StepRow> RequiredSteps(const config::ServerConfig& wanted,
+                                   const EngineState& state) {
   std::vector<StepRow> steps;
   for (const ModelId& model : wanted.spec.models) {
     if (Contains(state.models, model)) continue;
@@ -160,59 +167,62 @@
   return Contains(state.models, step.model) == IsLoad(step);
 }
 
-bool Safe(const Step& step, const config::Configuration& configuration,
-          const Views& views, const SequenceOptions& options, absl::Time now) {
+bool IsSafe(const Step& step, const config::Configuration& configuration,
+            const Views& views, const SequenceOptions& options,
+            absl::Time now) {
   if (IsLoad(step.row)) return true;
-  const config::ServerConfig* server = Find(configuration, step.server);
+  const config::ServerConfig* server = FindServer(configuration, step.server);
   auto view = views.find(step.server);
   if (server == nullptr || view == views.end()) return false;
   const std::optional<EngineState>& state = view->second.state;
   if (!state) return false;
   for (const config::ModelConfig& model : configuration.models) {
-    if (!Promised(model, *server) || !Touches(step.row, model.id)) continue;
+    if (!IsOfferedIn(model, *server) || !Disrupts(step.row, model.id)) continue;
     if (!Contains(state->models, model.id)) continue;
-    // Each phase counts by itself: a server that only decodes is no help to
+    // Each phase is checked by itself: a server that only decodes can't replace
     // one that only prefills.
-    for (ServerRole without : {ServerRole::kDecode, ServerRole::kPrefill}) {
-      if (!Does(state->role, without)) continue;
-      int others = CountOthers(*server, configuration, views, model.id, without,
-                               options, now);
-      // A role change is over soon and the model stays, so one is enough; with
-      // all of min_servers wanted, no role could ever change at the minimum.
-      int enough = step.row.kind == OrderKind::kRole
-                       ? std::min(1, model.min_servers)
-                       : model.min_servers;
-      if (others < enough) return false;
+    for (ServerRole incapable_role :
+         {ServerRole::kDecode, ServerRole::kPrefill}) {
+      if (!Performs(state->role, incapable_role)) continue;
+      int others = CountOtherServers(*server, configuration, views, model.id,
+                                     incapable_role, options, now);
+      // A role change is short and the model stays loaded, so one other server
+      // is enough. Requiring min_servers would block all role changes at the
+      // minimum.
+      int required = step.row.kind == OrderKind::kRole
+                         ? std::min(1, model.min_servers)
+                         : model.min_servers;
+      if (others < required) return false;
     }
   }
   return true;
 }
 
-Startable NextSteps(const config::Configuration& configuration,
-                    const Views& views, const SequenceOptions& options,
-                    absl::Time now) {
-  Startable startable;
-  UnderWay under_way = CountOpen(configuration, views, options);
+StartableSteps NextSteps(const config::Configuration& configuration,
+                         const Views& views, const SequenceOptions& options,
+                         absl::Time now) {
+  StartableSteps startable;
+  OpenSteps open_steps = CountOpenSteps(configuration, views, options);
   for (const config::ServerConfig& server : configuration.servers) {
-    if (!TakesOrders(configuration, server)) continue;
+    if (!AcceptsOrders(configuration, server)) continue;
     auto found = views.find(server.spec.id);
     if (found == views.end()) continue;
     const ServerView& view = found->second;
-    if (!view.state || now > view.seen + options.fresh) continue;
+    if (!view.state || now > view.read_at + options.max_age) continue;
     if (IsOpen(view) || now < view.not_before) continue;
-    // The first that is allowed: a load that waits for its turn doesn't hold
-    // up an unload that makes room.
-    for (StepRow& row : Differences(server, *view.state)) {
+    // Takes the first step that is allowed, so that a waiting load doesn't
+    // block an unload that frees memory.
+    for (StepRow& row : RequiredSteps(server, *view.state)) {
       row.version = configuration.version;
       row.attempt = NextAttempt(view.step, row);
       row.order = OrderId(server.spec.id, row);
       Step step{server.spec.id, std::move(row)};
-      if (!under_way.LeavesRoom(step.row, options) ||
-          !Safe(step, configuration, views, options, now)) {
+      if (!open_steps.Allows(step.row, options) ||
+          !IsSafe(step, configuration, views, options, now)) {
         ++startable.held_back;
         continue;
       }
-      under_way.Add(step.row);
+      open_steps.Add(step.row);
       startable.steps.push_back(std::move(step));
       break;
     }
--- a/src/orders/sequence.h
+++ b/src/orders/sequence.h
@@ -1,12 +1,12 @@
-// Which steps the configuration in force asks for, and which of them may start.
-// Pure: nothing is kept here; the rows of the steps are in the table.
+// Determines which steps the configuration in force requires, and which of them
+// may start. The functions keep no state; the rows of the steps are in the
+// table.
 //
-// What goes wrong without these rules: a model moves from one server to
-// another, the unload comes first or two servers unload at once, and callers
-// are refused for want of a server that their zone was promised. Rules: loads
-// go first; an unload or role change starts only when enough other servers of
-// the zone were seen with the model just now; and one at a time, so that no two
-// count on each other.
+// The rules prevent that a model which moves between servers is unloaded first,
+// or by two servers at once, so that callers are refused although the
+// configuration offers the model in their zone. Loads go first. An unload or
+// role change starts only when enough other servers of the zone had the model a
+// moment ago, and only one runs at a time, so that no two rely on each other.
 
 #ifndef GENTIANLB_ORDERS_SEQUENCE_H_
 #define GENTIANLB_ORDERS_SEQUENCE_H_
@@ -24,61 +24,67 @@
 namespace gentianlb::orders {
 
 struct SequenceOptions {
-  // The weight store's rate is shared by all loads, so more at once finish no
-  // sooner in sum; a second one fills the pauses of the first.
+  // All loads share the rate of the weight store, so more at once don't finish
+  // sooner. A second load uses the pauses of the first.
   int max_loads = 2;
-  // An older view of another server isn't counted on.
-  absl::Duration fresh = absl::Seconds(10);
-  // Calls in a row that a server must fail before its open step takes no room
-  // from others: fewer, and lost answers alone would overrun the bounds.
-  int silent_after = 3;
+  // A server whose state was read longer ago is not relied on.
+  absl::Duration max_age = absl::Seconds(10);
+  // After this many failed calls in a row, the open step of a server no longer
+  // counts against the limits. With fewer, lost answers alone would make the
+  // steps exceed them.
+  int max_failures = 3;
   bool operator==(const SequenceOptions&) const = default;
 };
 
-// What is known of one backend server.
+// The last known state of one backend server.
 struct ServerView {
-  std::optional<EngineState> state;  // Nothing: it doesn't answer.
-  absl::Time seen = absl::InfinitePast();
-  std::optional<StepRow> step;  // The last one.
-  int failures = 0;             // Calls in a row without an answer.
-  absl::Time not_before = absl::InfinitePast();  // For the next step.
+  std::optional<EngineState> state;  // Nothing if it doesn't answer.
+  absl::Time read_at = absl::InfinitePast();
+  std::optional<StepRow> step;   // The last one.
+  int consecutive_failures = 0;  // Calls in a row without answer.
+  absl::Time not_before = absl::InfinitePast();  // Earliest next step.
   bool operator==(const ServerView&) const = default;
 };
 
 using Views = std::map<ServerId, ServerView>;
 
+// A step and the server that it changes.
 struct Step {
   ServerId server;
   StepRow row;
   bool operator==(const Step&) const = default;
 };
 
-// Whether the server runs a model engine; a plain service takes no orders.
-bool TakesOrders(const config::Configuration& configuration,
-                 const config::ServerConfig& server);
+// Returns whether the server runs a model engine; a plain service takes no
+// orders.
+bool AcceptsOrders(const config::Configuration& configuration,
+                   const config::ServerConfig& server);
 
-// Loads first, then the role, unloads last.
-std::vector<StepRow> Differences(const config::ServerConfig& wanted,
-                                 const EngineState& state);
+// Returns the steps from `state` to the wanted configuration: loads first, then
+// the role change, then unloads.
+std::vector<StepRow> RequiredSteps(const config::ServerConfig& wanted,
+                                   const EngineState& state);
 
-// Whether the engine's state shows that the step took effect.
+// Returns whether the engine's state shows that the step took effect.
 bool TookEffect(const StepRow& step, const EngineState& state);
 
-// Whether the order of this step may be sent now without taking from a zone
-// the last servers that it was promised.
-bool Safe(const Step& step, const config::Configuration& configuration,
-          const Views& views, const SequenceOptions& options, absl::Time now);
+// Returns whether the order of this step may be sent now: the zone must keep
+// enough other servers for each model that the configuration offers there.
+bool IsSafe(const Step& step, const config::Configuration& configuration,
+            const Views& views, const SequenceOptions& options, absl::Time now);
 
-struct Startable {
+// The steps that may start now.
+struct StartableSteps {
   std::vector<Step> steps;
-  int held_back = 0;  // Wanted, and not allowed for now.
-  bool operator==(const Startable&) const = default;
+  int held_back = 0;  // Steps required but not yet allowed.
+  bool operator==(const StartableSteps&) const = default;
 };
 
-// What may start now beside what is open; at most one step for each server.
-Startable NextSteps(const config::Configuration& configuration,
-                    const Views& views, const SequenceOptions& options,
-                    absl::Time now);
+// Returns the steps that may start beside the open ones, at most one for each
+// server.
+StartableSteps NextSteps(const config::Configuration& configuration,
+                         const Views& views, const SequenceOptions& options,
+                         absl::Time now);
 
 }  // namespace gentianlb::orders
 
