--- a/src/entry/entry_host.cc
+++ b/src/entry/entry_host.cc
@@ -113,8 +113,9 @@
   peer_options.self.incarnation = incarnation_;
   peer_options.membership.probe_period = settings_.membership.heartbeat;
   peer_options.membership.ack_timeout = settings_.membership.heartbeat / 2;
-  peer_options.membership.suspicion = settings_.membership.suspect_after;
-  peer_options.membership.forget_dead = settings_.membership.forget_after;
+  peer_options.membership.suspicion_timeout =
+      settings_.membership.suspect_after;
+  peer_options.membership.dead_retention = settings_.membership.forget_after;
   peer_options.membership.seed = static_cast<std::uint64_t>(incarnation_);
   for (const settings::PeerSettings& peer : settings_.peers) {
     peer_options.seeds.push_back({peer.id, settings::Format(peer.control)});
--- a/src/member/membership.cc
+++ b/src/member/membership.cc
@@ -145,7 +145,7 @@
                                 std::vector<MemberChange>* changes) {
   for (auto& [id, entry] : members_) {
     if (entry.member.state == MemberState::kSuspect &&
-        now - entry.since >= options_.suspicion) {
+        now - entry.since >= options_.suspicion_timeout) {
       SetState(entry, MemberState::kDead, now, changes);
     }
   }
@@ -157,7 +157,7 @@
   std::erase_if(members_, [&](const auto& known) {
     const Entry& entry = known.second;
     return entry.heard && entry.member.state == MemberState::kDead &&
-           now - entry.since > options_.forget_dead;
+           now - entry.since > options_.dead_retention;
   });
 }
 
--- a/src/member/membership.h
+++ b/src/member/membership.h
@@ -23,8 +23,8 @@
 struct MembershipOptions {
   absl::Duration probe_period = absl::Milliseconds(500);
   absl::Duration ack_timeout = absl::Milliseconds(250);
-  absl::Duration suspicion = absl::Seconds(3);  // Suspect until dead.
-  absl::Duration forget_dead = absl::Minutes(10);
+  absl::Duration suspicion_timeout = absl::Seconds(3);  // Suspect until dead.
+  absl::Duration dead_retention = absl::Minutes(10);
   std::uint64_t seed = 1;
   bool operator==(const MembershipOptions&) const = default;
 };
