--- a/src/member/member_test.cc
+++ b/src/member/member_test.cc
@@ -9,8 +9,8 @@
 namespace gentianlb::member {
 namespace {
 
-// A handful of hosts joined by a network in memory that can be cut and that
-// moves on a virtual clock.
+// Several hosts on an in-memory network that can be partitioned, with a virtual
+// clock.
 class Network {
  public:
   explicit Network(int hosts) {
@@ -31,31 +31,32 @@
 
   static EntryHostId Id(int i) { return EntryHostId("h" + std::to_string(i)); }
 
-  void Run(absl::Duration span) {
-    absl::Time end = now_ + span;
+  void Run(absl::Duration duration) {
+    absl::Time end = now_ + duration;
     for (; now_ < end; now_ += absl::Milliseconds(50)) Step();
   }
 
   void Stop(int host) { stopped_.insert(host); }
-  void Wake(int host) { stopped_.erase(host); }
+  void Resume(int host) { stopped_.erase(host); }
 
-  // Cuts hosts below `boundary` from the others; 0 heals.
-  void CutAt(int boundary) { boundary_ = boundary; }
+  // Partitions the hosts below `boundary` from the other hosts. 0 ends the
+  // partition.
+  void PartitionAt(int boundary) { boundary_ = boundary; }
 
-  MemberState StateSeenBy(int host, int other) const {
-    const Member* member = nodes_[host].membership->Find(Id(other));
+  MemberState StateSeenBy(int host, int observed) const {
+    const Member* member = nodes_[host].membership->Find(Id(observed));
     return member == nullptr ? MemberState::kDead : member->state;
   }
 
-  bool AllSee(int other, MemberState state) const {
+  bool AllSee(int observed, MemberState state) const {
     for (int i = 0; i < static_cast<int>(nodes_.size()); ++i) {
-      if (i == other || stopped_.contains(i)) continue;
-      if (StateSeenBy(i, other) != state) return false;
+      if (i == observed || stopped_.contains(i)) continue;
+      if (StateSeenBy(i, observed) != state) return false;
     }
     return true;
   }
 
-  // How many hosts that run believe to hold the role.
+  // Returns how many running hosts consider themselves holders of the role.
   int Holders() const {
     int count = 0;
     for (int i = 0; i < static_cast<int>(nodes_.size()); ++i) {
@@ -71,7 +72,7 @@
 
   Membership& node(int i) { return *nodes_[i].membership; }
   std::uint64_t sent() const { return sent_; }
-  std::size_t largest_news() const { return largest_news_; }
+  std::size_t max_updates() const { return max_updates_; }
 
  private:
   struct Node {
@@ -79,7 +80,7 @@
     RoleBoard board;
   };
 
-  bool Cut(int a, int b) const { return (a < boundary_) != (b < boundary_); }
+  bool IsCut(int a, int b) const { return (a < boundary_) != (b < boundary_); }
 
   static int Index(const EntryHostId& id) {
     return std::stoi(id.str().substr(1));
@@ -101,9 +102,9 @@
       Envelope envelope = queue.front();
       queue.pop_front();
       ++sent_;
-      largest_news_ = std::max(largest_news_, envelope.updates.size());
+      max_updates_ = std::max(max_updates_, envelope.updates.size());
       int to = Index(envelope.to);
-      if (stopped_.contains(to) || Cut(Index(envelope.from.id), to)) continue;
+      if (stopped_.contains(to) || IsCut(Index(envelope.from.id), to)) continue;
       std::vector<Envelope> answers;
       nodes_[to].membership->HandleEnvelope(envelope, now_, &answers, &changes);
       queue.insert(queue.end(), answers.begin(), answers.end());
@@ -115,7 +116,7 @@
   int boundary_ = 0;
   absl::Time now_ = absl::UnixEpoch() + absl::Hours(1);
   std::uint64_t sent_ = 0;
-  std::size_t largest_news_ = 0;
+  std::size_t max_updates_ = 0;
 };
 
 BOOST_AUTO_TEST_CASE(HostsFindEachOtherThroughSeeds) {
@@ -127,9 +128,9 @@
   BOOST_TEST(network.Holders() == 1);
 }
 
-// A host is killed. The others should stop describing requests to it within
-// seconds, and another takes its roles.
-BOOST_AUTO_TEST_CASE(AKilledHostIsDeadForAllAndItsRoleMoves) {
+// A host is killed. All peers must mark it dead within seconds and another host
+// must take its role, or requests wait at a dispatcher that no longer runs.
+BOOST_AUTO_TEST_CASE(AKilledHostIsReportedDeadAndItsRoleMoves) {
   Network network(8);
   network.Run(absl::Seconds(15));
   EntryHostId holder = network.HolderSeenBy(0);
@@ -142,9 +143,9 @@
   BOOST_TEST(network.HolderSeenBy(witness) != holder);
 }
 
-// A host is frozen for a second, as by a pause of its machine. It is suspected,
-// denies it when it wakes, and keeps its role: moving it to and fro would throw
-// away what the holder has learnt each time.
+// A host freezes for a second, as when its machine pauses. It is suspected,
+// refutes the suspicion when it wakes, and must keep its role: each move of the
+// role would lose the state that the holder has collected.
 BOOST_AUTO_TEST_CASE(AShortPauseMovesNoRole) {
   Network network(8);
   network.Run(absl::Seconds(15));
@@ -152,42 +153,42 @@
   int paused = std::stoi(holder.str().substr(1));
   network.Stop(paused);
   network.Run(absl::Seconds(1));
-  network.Wake(paused);
+  network.Resume(paused);
   network.Run(absl::Seconds(10));
   BOOST_TEST(network.AllSee(paused, MemberState::kAlive));
   BOOST_TEST(network.HolderSeenBy(paused == 0 ? 1 : 0) == holder);
 }
 
-// The holder is frozen until another has taken over, and wakes up believing
-// that it still holds the role. For a moment there are two; then one gives up.
-BOOST_AUTO_TEST_CASE(OfTwoHoldersOneGivesUp) {
+// The holder freezes until another host has taken over, and wakes as a second
+// holder. One of the two must give up the role.
+BOOST_AUTO_TEST_CASE(OneOfTwoHoldersGivesUpTheRole) {
   Network network(8);
   network.Run(absl::Seconds(15));
   int paused = std::stoi(network.HolderSeenBy(0).str().substr(1));
   network.Stop(paused);
   network.Run(absl::Seconds(12));
-  network.Wake(paused);
+  network.Resume(paused);
   network.Run(absl::Seconds(10));
   BOOST_TEST(network.Holders() == 1);
 }
 
-// A link between two parts is cut. Each part goes on with a holder of its own,
-// and when the cut heals they agree again.
-BOOST_AUTO_TEST_CASE(BothSidesOfACutGoOnAndAgreeAfterIt) {
+// The network is partitioned. Each side must get its own holder, and after the
+// partition both sides must agree on one holder again.
+BOOST_AUTO_TEST_CASE(BothSidesOfAPartitionKeepAHolderAndThenMerge) {
   Network network(8);
   network.Run(absl::Seconds(15));
-  network.CutAt(4);
+  network.PartitionAt(4);
   network.Run(absl::Seconds(20));
   BOOST_TEST(network.Holders() == 2);
   BOOST_TEST((network.StateSeenBy(0, 7) == MemberState::kDead));
-  network.CutAt(0);
+  network.PartitionAt(0);
   network.Run(absl::Seconds(30));
   BOOST_TEST(network.Holders() == 1);
   BOOST_TEST(network.AllSee(7, MemberState::kAlive));
 }
 
-// A host that shuts down says so, and gives up its roles without waiting to be
-// found dead.
+// A host that shuts down announces it. Its role must move without waiting for
+// the suspicion timeout.
 BOOST_AUTO_TEST_CASE(ALeavingHostHandsItsRoleOver) {
   Network network(8);
   network.Run(absl::Seconds(15));
@@ -199,16 +200,18 @@
              Network::Id(leaving));
 }
 
-// The traffic of a host must not grow with the number of hosts.
+// The number and size of the messages of a host must not grow with the number
+// of hosts.
 BOOST_AUTO_TEST_CASE(MessagesPerHostStayBounded) {
   std::vector<double> per_host;
   for (int hosts : {10, 40}) {
     Network network(hosts);
     network.Run(absl::Seconds(20));
-    std::uint64_t before = network.sent();
+    std::uint64_t sent_before = network.sent();
     network.Run(absl::Seconds(20));
-    per_host.push_back(static_cast<double>(network.sent() - before) / hosts);
-    BOOST_TEST(network.largest_news() <= 9U);
+    per_host.push_back(static_cast<double>(network.sent() - sent_before) /
+                       hosts);
+    BOOST_TEST(network.max_updates() <= 9U);
   }
   BOOST_TEST(per_host[1] <= per_host[0] * 1.2);
 }
--- a/src/member/membership.cc
+++ b/src/member/membership.cc
@@ -8,28 +8,28 @@
 namespace gentianlb::member {
 namespace {
 
-// News per message. Eight of them with their roles stay below 2 KB, and at 350
-// hosts a change still reaches all within the rounds below.
-constexpr std::size_t kNewsPerMessage = 8;
+// Eight updates with their roles stay below 2 KB, and at 350 hosts a change
+// still reaches all hosts with the repeats below.
+constexpr std::size_t kUpdatesPerMessage = 8;
 
-// A piece of news is passed on this often times log2 of the hosts; SWIM's
-// analysis asks for a small multiple, and 3 covers lost messages.
-constexpr int kNewsRounds = 3;
+// Each update is sent this often times log2 of the number of hosts. SWIM's
+// analysis requires a small multiple; 3 allows for lost messages.
+constexpr int kRepeatFactor = 3;
 
-// How many others ping a silent host on behalf of the prober.
+// The number of peers that ping an unresponsive host for the prober.
 constexpr std::size_t kIndirectProbes = 3;
 
-// Every how many probes one goes to a dead host or an unheard seed, so that two
-// sides of a healed cut find each other again.
-constexpr std::uint64_t kDeadProbeEvery = 8;
+// One of this many probes goes to a dead host or an unknown seed, so that two
+// sides of a partition find each other after it ends.
+constexpr std::uint64_t kDeadProbeInterval = 8;
 
-bool Probed(MemberState state) { return state != MemberState::kDead; }
+bool IsProbed(MemberState state) { return state != MemberState::kDead; }
 
-// Whether `news` is newer than `known`, by incarnation, revision and then the
-// graver state.
-bool Newer(const Member& news, const Member& known) {
-  return std::tuple(news.incarnation, news.revision, news.state) >
-         std::tuple(known.incarnation, known.revision, known.state);
+// Returns whether `update` is newer than `existing`: by incarnation, then by
+// revision, then by the later value of `state`.
+bool IsNewer(const Member& update, const Member& existing) {
+  return std::tuple(update.incarnation, update.revision, update.state) >
+         std::tuple(existing.incarnation, existing.revision, existing.state);
 }
 
 }  // namespace
@@ -51,7 +51,7 @@
 
 void Membership::Tick(absl::Time now, std::vector<Envelope>* out,
                       std::vector<MemberChange>* changes) {
-  AskOthers(now, out);
+  SendIndirectProbes(now, out);
   ExpireSuspects(now, changes);
   if (now < next_probe_) return;
   FinishProbe(now, changes);
@@ -62,16 +62,18 @@
 
 absl::Time Membership::NextTick() const {
   if (probe_.number != 0 && !probe_.acked && !probe_.indirect) {
-    return std::min(next_probe_, probe_.started + options_.ack_timeout);
+    return std::min(next_probe_, probe_.sent_at + options_.ack_timeout);
   }
   return next_probe_;
 }
 
-// The direct ping has had its time: a cut or lossy link between the two hosts
-// looks the same as a death, and others may still have a way.
-void Membership::AskOthers(absl::Time now, std::vector<Envelope>* out) {
+// Sends indirect probes after the direct ping has timed out. A broken or lossy
+// link between the two hosts looks like a dead host, but other peers may still
+// reach it.
+void Membership::SendIndirectProbes(absl::Time now,
+                                    std::vector<Envelope>* out) {
   if (probe_.number == 0 || probe_.acked || probe_.indirect) return;
-  if (now - probe_.started < options_.ack_timeout) return;
+  if (now - probe_.sent_at < options_.ack_timeout) return;
   probe_.indirect = true;
   std::vector<const Entry*> helpers;
   for (const auto& [id, entry] : members_) {
@@ -82,7 +84,8 @@
   std::shuffle(helpers.begin(), helpers.end(), random_);
   if (helpers.size() > kIndirectProbes) helpers.resize(kIndirectProbes);
   for (const Entry* helper : helpers) {
-    out->push_back(Write(*helper, PingRequest{probe_.number, probe_.target}));
+    out->push_back(
+        MakeEnvelope(*helper, PingRequest{probe_.number, probe_.target}));
   }
 }
 
@@ -93,51 +96,51 @@
   auto found = members_.find(finished.target);
   if (found == members_.end()) return;
   Entry& entry = found->second;
-  bool trusted = entry.member.state == MemberState::kAlive ||
-                 entry.member.state == MemberState::kLeaving;
-  if (trusted) SetState(entry, MemberState::kSuspect, now, changes);
+  bool was_available = entry.member.state == MemberState::kAlive ||
+                       entry.member.state == MemberState::kLeaving;
+  if (was_available) SetState(entry, MemberState::kSuspect, now, changes);
 }
 
 void Membership::StartProbe(absl::Time now, std::vector<Envelope>* out) {
   EntryHostId target = NextTarget(now);
   if (target.empty()) return;
   probe_ = {next_number_++, target, now, false, false};
-  out->push_back(Write(members_.at(target), Ping{probe_.number}));
-  // Errands whose target never answered.
-  std::erase_if(errands_, [&](const auto& errand) {
-    return now - errand.second.started > 4 * options_.probe_period;
+  out->push_back(MakeEnvelope(members_.at(target), Ping{probe_.number}));
+  // Drops relayed pings whose target never answered.
+  std::erase_if(relayed_pings_, [&](const auto& relayed) {
+    return now - relayed.second.sent_at > 4 * options_.probe_period;
   });
 }
 
 EntryHostId Membership::NextTarget(absl::Time /*now*/) {
-  while (!urgent_.empty()) {
-    EntryHostId target = urgent_.back();
-    urgent_.pop_back();
+  while (!priority_targets_.empty()) {
+    EntryHostId target = priority_targets_.back();
+    priority_targets_.pop_back();
     if (members_.contains(target)) return target;
   }
   std::vector<EntryHostId> dead;
   std::vector<EntryHostId> living;
   for (const auto& [id, entry] : members_) {
-    (Probed(entry.member.state) ? living : dead).push_back(id);
+    (IsProbed(entry.member.state) ? living : dead).push_back(id);
   }
-  bool probe_dead = living.empty() || ++probes_ % kDeadProbeEvery == 0;
+  bool probe_dead = living.empty() || ++probe_count_ % kDeadProbeInterval == 0;
   if (probe_dead && !dead.empty()) {
     return dead[random_() % dead.size()];
   }
-  // Every living host once per round, in an order that differs from host to
-  // host and from round to round, so that probes spread evenly.
-  while (!order_.empty()) {
-    EntryHostId target = order_.back();
-    order_.pop_back();
+  // Each round probes every host that isn't dead once, in an order that differs
+  // between hosts and rounds, so that probes spread evenly.
+  while (!probe_order_.empty()) {
+    EntryHostId target = probe_order_.back();
+    probe_order_.pop_back();
     auto found = members_.find(target);
     if (found == members_.end()) continue;
-    if (Probed(found->second.member.state)) return target;
+    if (IsProbed(found->second.member.state)) return target;
   }
   if (living.empty()) return {};
-  order_ = std::move(living);
-  std::shuffle(order_.begin(), order_.end(), random_);
-  EntryHostId target = order_.back();
-  order_.pop_back();
+  probe_order_ = std::move(living);
+  std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
+  EntryHostId target = probe_order_.back();
+  probe_order_.pop_back();
   return target;
 }
 
@@ -145,19 +148,19 @@
                                 std::vector<MemberChange>* changes) {
   for (auto& [id, entry] : members_) {
     if (entry.member.state == MemberState::kSuspect &&
-        now - entry.since >= options_.suspicion_timeout) {
+        now - entry.state_since >= options_.suspicion_timeout) {
       SetState(entry, MemberState::kDead, now, changes);
     }
   }
 }
 
-// A host that was replaced under a new name would otherwise be probed for ever.
-// Seeds stay: the settings name them.
+// Removes long dead hosts. A host that was replaced under a new name would
+// otherwise be probed forever. Seeds without any update stay.
 void Membership::ForgetDead(absl::Time now) {
-  std::erase_if(members_, [&](const auto& known) {
-    const Entry& entry = known.second;
-    return entry.heard && entry.member.state == MemberState::kDead &&
-           now - entry.since > options_.dead_retention;
+  std::erase_if(members_, [&](const auto& existing) {
+    const Entry& entry = existing.second;
+    return entry.known && entry.member.state == MemberState::kDead &&
+           now - entry.state_since > options_.dead_retention;
   });
 }
 
@@ -165,143 +168,147 @@
                                 std::vector<Envelope>* out,
                                 std::vector<MemberChange>* changes) {
   if (envelope.from.id == self_.id) return;
-  auto known = members_.find(envelope.from.id);
-  if (known != members_.end() &&
-      known->second.member.incarnation > envelope.from.incarnation) {
+  auto existing = members_.find(envelope.from.id);
+  if (existing != members_.end() &&
+      existing->second.member.incarnation > envelope.from.incarnation) {
     return;
   }
-  Learn(envelope.from, now, /*direct=*/true, changes);
-  for (const Member& news : envelope.updates) {
-    Learn(news, now, /*direct=*/false, changes);
+  ApplyUpdate(envelope.from, now, /*direct=*/true, changes);
+  for (const Member& update : envelope.updates) {
+    ApplyUpdate(update, now, /*direct=*/false, changes);
   }
   const Entry& sender = members_.at(envelope.from.id);
   if (const auto* ping = std::get_if<Ping>(&envelope.body)) {
-    out->push_back(Write(sender, Ack{ping->number, self_.id}));
+    out->push_back(MakeEnvelope(sender, Ack{ping->number, self_.id}));
     return;
   }
   if (const auto* request = std::get_if<PingRequest>(&envelope.body)) {
     auto target = members_.find(request->target);
     if (target == members_.end()) return;
     std::uint64_t number = next_number_++;
-    errands_[number] = {request->number, envelope.from.id, now};
-    out->push_back(Write(target->second, Ping{number}));
+    relayed_pings_[number] = {request->number, envelope.from.id, now};
+    out->push_back(MakeEnvelope(target->second, Ping{number}));
     return;
   }
   const auto& ack = std::get<Ack>(envelope.body);
   if (ack.number == probe_.number && ack.alive_host == probe_.target) {
     probe_.acked = true;
   }
-  auto errand = errands_.find(ack.number);
-  if (errand == errands_.end()) return;
-  auto asker = members_.find(errand->second.asked_by);
-  if (asker != members_.end()) {
+  auto relayed = relayed_pings_.find(ack.number);
+  if (relayed == relayed_pings_.end()) return;
+  auto requester = members_.find(relayed->second.requester);
+  if (requester != members_.end()) {
     out->push_back(
-        Write(asker->second, Ack{errand->second.asked_number, ack.alive_host}));
+        MakeEnvelope(requester->second,
+                     Ack{relayed->second.request_number, ack.alive_host}));
   }
-  errands_.erase(errand);
+  relayed_pings_.erase(relayed);
 }
 
-void Membership::Learn(const Member& news, absl::Time now, bool direct,
-                       std::vector<MemberChange>* changes) {
-  if (news.id == self_.id) {
-    Refute(news);
+void Membership::ApplyUpdate(const Member& update, absl::Time now, bool direct,
+                             std::vector<MemberChange>* changes) {
+  if (update.id == self_.id) {
+    RefuteSuspicion(update);
     return;
   }
-  auto [found, inserted] = members_.try_emplace(news.id);
+  auto [found, inserted] = members_.try_emplace(update.id);
   Entry& entry = found->second;
-  bool first = inserted || !entry.heard;
-  // A host that was forgotten is not brought back by old news of its death.
-  if (first && !direct && news.state == MemberState::kDead) {
+  bool is_new = inserted || !entry.known;
+  // An old update about the death of a removed host does not add it again.
+  if (is_new && !direct && update.state == MemberState::kDead) {
     if (inserted) members_.erase(found);
     return;
   }
-  // Hearing a host itself outweighs what others suspect of it.
-  bool contradicts = direct && news.incarnation == entry.member.incarnation &&
+  // A message of the host itself overrides the suspicion of its peers.
+  bool contradicts = direct && update.incarnation == entry.member.incarnation &&
                      (entry.member.state == MemberState::kSuspect ||
                       entry.member.state == MemberState::kDead);
-  if (!first && !contradicts && !Newer(news, entry.member)) return;
-  MemberState before = first ? MemberState::kDead : entry.member.state;
-  std::uint64_t revision = std::max(news.revision, entry.member.revision);
-  bool same_start = entry.member.incarnation == news.incarnation;
-  // A new version in force is no news of a member: hosts hear of versions from
-  // every probe, and passing 350 of them on at each change would crowd out the
-  // deaths, which then took minutes to reach all.
-  Member told = news;
-  told.config_version = entry.member.config_version;
-  told.revision = entry.member.revision;
-  bool worth_telling = first || told != entry.member;
-  entry.member = news;
-  if (same_start) entry.member.revision = revision;
-  entry.heard = true;
-  if (worth_telling) entry.news_left = NewsRounds();
-  ++changes_;
-  if (news.config_version > newest_config_) {
-    newest_config_ = news.config_version;
-    newest_config_host_ = news.id;
+  if (!is_new && !contradicts && !IsNewer(update, entry.member)) return;
+  MemberState old_state = is_new ? MemberState::kDead : entry.member.state;
+  std::uint64_t revision = std::max(update.revision, entry.member.revision);
+  bool same_incarnation = entry.member.incarnation == update.incarnation;
+  // A new configuration version alone is not propagated. Hosts receive versions
+  // with every probe, and propagating 350 of them at each change would delay
+  // updates about dead hosts by minutes.
+  Member compared = update;
+  compared.config_version = entry.member.config_version;
+  compared.revision = entry.member.revision;
+  bool must_propagate = is_new || compared != entry.member;
+  entry.member = update;
+  if (same_incarnation) entry.member.revision = revision;
+  entry.known = true;
+  if (must_propagate) entry.sends_left = UpdateRepeats();
+  ++change_count_;
+  if (update.config_version > newest_config_version_) {
+    newest_config_version_ = update.config_version;
+    newest_config_host_ = update.id;
   }
-  if (before != news.state || first) {
-    entry.since = now;
-    changes->push_back({entry.member, before, first});
+  if (old_state != update.state || is_new) {
+    entry.state_since = now;
+    changes->push_back({entry.member, old_state, is_new});
   }
 }
 
-// Someone suspects this host, or takes it for dead. A higher revision makes the
-// denial newer than the suspicion everywhere.
-void Membership::Refute(const Member& news) {
-  if (news.incarnation != self_.incarnation) return;
-  bool doubted =
-      news.state == MemberState::kSuspect || news.state == MemberState::kDead;
-  if (doubted && news.revision >= self_.revision) {
-    self_.revision = news.revision + 1;
+// Raises the revision if a peer suspects this host or considers it dead, so
+// that the host's own state is newer than the suspicion on all hosts.
+void Membership::RefuteSuspicion(const Member& update) {
+  if (update.incarnation != self_.incarnation) return;
+  bool suspected = update.state == MemberState::kSuspect ||
+                   update.state == MemberState::kDead;
+  if (suspected && update.revision >= self_.revision) {
+    self_.revision = update.revision + 1;
   }
 }
 
 void Membership::SetState(Entry& entry, MemberState state, absl::Time now,
                           std::vector<MemberChange>* changes) {
-  MemberState before = entry.member.state;
+  MemberState old_state = entry.member.state;
   entry.member.state = state;
-  ++changes_;
-  entry.since = now;
-  entry.news_left = NewsRounds();
-  changes->push_back({entry.member, before, false});
+  ++change_count_;
+  entry.state_since = now;
+  entry.sends_left = UpdateRepeats();
+  changes->push_back({entry.member, old_state, false});
 }
 
-Envelope Membership::Write(const Entry& to, decltype(Envelope::body) body) {
+Envelope Membership::MakeEnvelope(const Entry& to,
+                                  decltype(Envelope::body) body) {
   Envelope envelope{self_, to.member.id, to.member.address, std::move(body),
-                    TakeNews()};
-  // The receiver must learn what is thought of it, or it could not deny it.
-  if (to.heard && to.member.state != MemberState::kAlive) {
+                    TakeUpdates()};
+  // A receiver that this host doesn't consider alive needs this state to refute
+  // it.
+  if (to.known && to.member.state != MemberState::kAlive) {
     envelope.updates.push_back(to.member);
   }
   return envelope;
 }
 
-std::vector<Member> Membership::TakeNews() {
-  std::vector<Entry*> fresh;
+std::vector<Member> Membership::TakeUpdates() {
+  std::vector<Entry*> pending;
   for (auto& [id, entry] : members_) {
-    if (entry.news_left > 0) fresh.push_back(&entry);
+    if (entry.sends_left > 0) pending.push_back(&entry);
   }
-  // What was passed on least goes first.
-  std::stable_sort(fresh.begin(), fresh.end(), [](Entry* a, Entry* b) {
-    return a->news_left > b->news_left;
+  // Updates that were sent least often go first.
+  std::stable_sort(pending.begin(), pending.end(), [](Entry* a, Entry* b) {
+    return a->sends_left > b->sends_left;
   });
-  if (fresh.size() > kNewsPerMessage) fresh.resize(kNewsPerMessage);
-  std::vector<Member> news;
-  for (Entry* entry : fresh) {
-    --entry->news_left;
-    news.push_back(entry->member);
+  if (pending.size() > kUpdatesPerMessage) pending.resize(kUpdatesPerMessage);
+  std::vector<Member> updates;
+  for (Entry* entry : pending) {
+    --entry->sends_left;
+    updates.push_back(entry->member);
   }
-  return news;
+  return updates;
 }
 
-int Membership::NewsRounds() const {
-  return kNewsRounds * (1 + static_cast<int>(std::log2(
-                                1.0 + static_cast<double>(members_.size()))));
+int Membership::UpdateRepeats() const {
+  return kRepeatFactor * (1 + static_cast<int>(std::log2(
+                                  1.0 + static_cast<double>(members_.size()))));
 }
 
 void Membership::ProbeSoon(const EntryHostId& host) {
-  if (std::find(urgent_.begin(), urgent_.end(), host) == urgent_.end()) {
-    urgent_.push_back(host);
+  if (std::find(priority_targets_.begin(), priority_targets_.end(), host) ==
+      priority_targets_.end()) {
+    priority_targets_.push_back(host);
   }
 }
 
@@ -325,16 +332,16 @@
 const Member* Membership::Find(const EntryHostId& id) const {
   if (id == self_.id) return &self_;
   auto found = members_.find(id);
-  if (found == members_.end() || !found->second.heard) return nullptr;
+  if (found == members_.end() || !found->second.known) return nullptr;
   return &found->second.member;
 }
 
 std::vector<Member> Membership::Peers() const {
-  std::vector<Member> others;
+  std::vector<Member> peers;
   for (const auto& [id, entry] : members_) {
-    if (entry.heard) others.push_back(entry.member);
+    if (entry.known) peers.push_back(entry.member);
   }
-  return others;
+  return peers;
 }
 
 }  // namespace gentianlb::member
--- a/src/member/messages.h
+++ b/src/member/messages.h
@@ -1,5 +1,5 @@
-// What entry hosts tell each other about who lives. Messages are small and of
-// bounded size, whatever the number of hosts.
+// Messages of the membership protocol between entry hosts. Their size is
+// bounded and does not grow with the number of hosts.
 
 #ifndef GENTIANLB_MEMBER_MESSAGES_H_
 #define GENTIANLB_MEMBER_MESSAGES_H_
@@ -18,16 +18,17 @@
 enum class MemberState { kAlive, kSuspect, kDead, kLeaving };
 
 // A role that an entry host holds, such as the dispatcher of a service in an
-// availability zone. `since` orders two hosts that both believe they hold it.
+// availability zone. If two hosts hold a role, the earlier `since` keeps it.
 struct HeldRole {
   std::string role;
-  std::int64_t since = 0;  // Microseconds since the epoch, of the holder.
+  std::int64_t since =
+      0;  // Microseconds since the epoch, by the clock of the holder.
   auto operator<=>(const HeldRole&) const = default;
 };
 
-// One entry host as it is known. Which of two pieces of news about a host is
-// newer is decided by incarnation, then by `revision`, which only the host
-// itself raises, then by the graver state.
+// The last known state of one entry host. Of two updates about a host the newer
+// has the higher incarnation, then the higher `revision`, which only the host
+// itself raises, then the later value of `state`.
 struct Member {
   EntryHostId id;
   ZoneId zone;
@@ -40,26 +41,28 @@
   bool operator==(const Member&) const = default;
 };
 
-// "Are you there?" The receiver answers with an Ack of the same number.
+// Checks that the receiver is alive. It answers with an Ack of the same number.
 struct Ping {
   std::uint64_t number = 0;
   bool operator==(const Ping&) const = default;
 };
 
+// The answer to a Ping or PingRequest.
 struct Ack {
   std::uint64_t number = 0;
   EntryHostId alive_host;  // The sender, or the target of a PingRequest.
   bool operator==(const Ack&) const = default;
 };
 
-// "Ping `target` for me": tells a dead host from a cut link.
+// Asks the receiver to ping `target` for the sender. This distinguishes a dead
+// host from a broken link.
 struct PingRequest {
   std::uint64_t number = 0;
   EntryHostId target;
   bool operator==(const PingRequest&) const = default;
 };
 
-// A message with the news that it carries along.
+// A message and the membership updates that it carries.
 struct Envelope {
   Member from;
   EntryHostId to;
--- a/src/member/roles.cc
+++ b/src/member/roles.cc
@@ -8,8 +8,9 @@
 namespace gentianlb::member {
 namespace {
 
-// Rendezvous hashing: each role has its own order of hosts, so that roles
-// spread, and a host that goes moves only its own roles.
+// Returns the rank of a host for a role by rendezvous hashing. Each role has
+// its own order of hosts, so roles spread over the hosts, and only the roles of
+// a leaving host move.
 std::uint64_t Rank(const std::string& role, const EntryHostId& host) {
   std::uint64_t seed = XXH3_64bits(role.data(), role.size());
   return XXH3_64bits_withSeed(host.str().data(), host.str().size(), seed);
@@ -23,13 +24,13 @@
   return InZone(member, zone) && member.state == MemberState::kAlive;
 }
 
-// A suspect may be slow for a moment only; its role moves when it is dead.
+// A suspect may be slow only for a moment, so its role moves when it is dead.
 bool MayKeep(const Member& member, const ZoneId& zone) {
   return InZone(member, zone) && (member.state == MemberState::kAlive ||
                                   member.state == MemberState::kSuspect);
 }
 
-const HeldRole* Announced(const Member& member, const std::string& role) {
+const HeldRole* FindRole(const Member& member, const std::string& role) {
   auto found =
       std::find_if(member.roles.begin(), member.roles.end(),
                    [&](const HeldRole& held) { return held.role == role; });
@@ -39,10 +40,11 @@
 }  // namespace
 
 void RoleBoard::SetRoles(std::vector<RoleSpec> roles) {
-  std::map<std::string, State> next;
+  std::map<std::string, RoleState> next;
   for (RoleSpec& spec : roles) {
-    auto known = states_.find(spec.role);
-    State state = known == states_.end() ? State{} : known->second;
+    auto existing = states_.find(spec.role);
+    RoleState state =
+        existing == states_.end() ? RoleState{} : existing->second;
     state.zone = spec.zone;
     next.emplace(spec.role, std::move(state));
   }
@@ -50,10 +52,10 @@
 }
 
 std::vector<RoleBoard::Change> RoleBoard::Update(
-    const Member& self, const std::vector<Member>& others, absl::Time now) {
+    const Member& self, const std::vector<Member>& peers, absl::Time now) {
   std::vector<Change> changes;
   for (auto& [role, state] : states_) {
-    Holder holder = Judge(role, state, self, others, now);
+    Holder holder = DetermineHolder(role, state, self, peers, now);
     if (holder == state.holder) continue;
     state.holder = holder;
     changes.push_back({role, holder});
@@ -61,49 +63,50 @@
   return changes;
 }
 
-RoleBoard::Holder RoleBoard::Judge(const std::string& role, State& state,
-                                   const Member& self,
-                                   const std::vector<Member>& others,
-                                   absl::Time now) const {
-  // The last host of a zone keeps its roles while it leaves: its own requests
-  // still need them.
-  bool others_may = std::any_of(
-      others.begin(), others.end(),
+RoleBoard::Holder RoleBoard::DetermineHolder(const std::string& role,
+                                             RoleState& state,
+                                             const Member& self,
+                                             const std::vector<Member>& peers,
+                                             absl::Time now) const {
+  // The last host of a zone keeps its roles while it leaves, because its own
+  // requests still need them.
+  bool peer_may_hold = std::any_of(
+      peers.begin(), peers.end(),
       [&](const Member& member) { return MayHold(member, state.zone); });
   bool may_hold =
-      MayHold(self, state.zone) || (!others_may && InZone(self, state.zone));
+      MayHold(self, state.zone) || (!peer_may_hold && InZone(self, state.zone));
   if (!may_hold) state.held_since.reset();
 
-  // Among those that announce the role the earliest keeps it.
+  // Of the members that publish the role, the earliest holder keeps it.
   const Member* holder = nullptr;
-  std::tuple<std::int64_t, EntryHostId> first;
-  for (const Member& member : others) {
-    const HeldRole* held = Announced(member, role);
+  std::tuple<std::int64_t, EntryHostId> earliest;
+  for (const Member& member : peers) {
+    const HeldRole* held = FindRole(member, role);
     if (held == nullptr || !MayKeep(member, state.zone)) continue;
-    std::tuple<std::int64_t, EntryHostId> mark(held->since, member.id);
-    if (holder == nullptr || mark < first) {
+    std::tuple<std::int64_t, EntryHostId> candidate(held->since, member.id);
+    if (holder == nullptr || candidate < earliest) {
       holder = &member;
-      first = mark;
+      earliest = candidate;
     }
   }
   if (state.held_since.has_value()) {
     std::tuple<std::int64_t, EntryHostId> own(*state.held_since, self_);
-    if (holder == nullptr || own < first) {
+    if (holder == nullptr || own < earliest) {
       return {self_, *state.held_since};
     }
     state.held_since.reset();
   }
   if (holder != nullptr) {
     state.vacant_since.reset();
-    return {holder->id, std::get<0>(first)};
+    return {holder->id, std::get<0>(earliest)};
   }
 
-  // Vacant: the host of the highest rank takes it, after a while.
+  // The host with the highest rank takes a vacant role after the delay.
   if (!state.vacant_since.has_value()) state.vacant_since = now;
   if (!may_hold) return {};
-  if (now - *state.vacant_since < kRoleSettle) return {};
+  if (now - *state.vacant_since < kVacancyDelay) return {};
   std::uint64_t own_rank = Rank(role, self_);
-  for (const Member& member : others) {
+  for (const Member& member : peers) {
     if (MayHold(member, state.zone) && Rank(role, member.id) > own_rank) {
       return {};
     }
--- a/src/member/roles.h
+++ b/src/member/roles.h
@@ -1,11 +1,12 @@
-// Who holds a role of which one holder per availability zone is wanted, such as
-// the dispatcher of a service. There is no election: each host ranks the living
-// members by itself. Two holders at once cost efficiency, never correctness, so
-// no lease is needed; roles where two would do harm use leases in the table.
+// Determines the holder of each role that needs one holder per availability
+// zone, such as the dispatcher of a service. There is no election: each host
+// ranks the members that are alive by itself. Two holders at once cost
+// efficiency but not correctness, so no lease is needed; roles that must not
+// have two holders use leases in the table.
 //
-// A holder keeps its role while it lives; a host that comes back or flaps does
-// not take it over again (cf. "Cartridge Failover architecture": no change of
-// leader while the current one lives, and immunity of a fresh appointment).
+// A holder keeps its role while it is alive. A host that returns or flaps does
+// not take it over again (see "Cartridge Failover architecture": the leader
+// does not change while it is alive, and a new leader is immune for some time).
 
 #ifndef GENTIANLB_MEMBER_ROLES_H_
 #define GENTIANLB_MEMBER_ROLES_H_
@@ -27,20 +28,21 @@
   auto operator<=>(const RoleSpec&) const = default;
 };
 
-// A host takes a vacant role only after it has stayed vacant in its eyes this
-// long: a host that has just started has not yet heard of the holder.
-inline constexpr absl::Duration kRoleSettle = absl::Milliseconds(1500);
+// A host takes a role only after seeing it vacant for this time, because a host
+// that has just started has not yet received an update about the holder.
+inline constexpr absl::Duration kVacancyDelay = absl::Milliseconds(1500);
 
+// Tracks the holders of all roles for one entry host.
 class RoleBoard {
  public:
   explicit RoleBoard(EntryHostId self) : self_(std::move(self)) {}
 
   void SetRoles(std::vector<RoleSpec> roles);
 
-  // Who holds a role, and since when: a host that has lost a role and taken it
-  // again has forgotten what it was told, so that counts as a change too.
+  // The holder of a role and the time it took it. A host that lost a role and
+  // took it again has lost its state, so this counts as a change too.
   struct Holder {
-    EntryHostId host;  // Empty: nobody is known to hold it.
+    EntryHostId host;  // Empty if no holder is known.
     std::int64_t since = 0;
     bool operator==(const Holder&) const = default;
   };
@@ -51,33 +53,35 @@
     bool operator==(const Change&) const = default;
   };
 
-  // Judges all roles anew by what is known of the members; `self` is this host
-  // as it is announced. Returns the roles whose holder has changed.
+  // Determines the holders of all roles from the members; `self` is this host
+  // as it is published. Returns the roles whose holder has changed.
   std::vector<Change> Update(const Member& self,
-                             const std::vector<Member>& others, absl::Time now);
+                             const std::vector<Member>& peers, absl::Time now);
 
-  // Empty when nobody is known to hold it.
+  // Returns the holder of the role; empty if none is known.
   EntryHostId HolderOf(const std::string& role) const;
 
-  // Whether a role has no known holder, so that time alone may change it.
+  // Returns whether a role has no known holder, so that its holder may change
+  // with time alone.
   bool HasVacantRole() const;
 
-  // What this host holds, to be announced.
+  // Returns the roles that this host holds, for publishing.
   std::vector<HeldRole> HeldRoles() const;
 
  private:
-  struct State {
+  struct RoleState {
     ZoneId zone;
     Holder holder;
     std::optional<std::int64_t> held_since;  // Set while this host holds it.
     std::optional<absl::Time> vacant_since;
   };
 
-  Holder Judge(const std::string& role, State& state, const Member& self,
-               const std::vector<Member>& others, absl::Time now) const;
+  Holder DetermineHolder(const std::string& role, RoleState& state,
+                         const Member& self, const std::vector<Member>& peers,
+                         absl::Time now) const;
 
   const EntryHostId self_;
-  std::map<std::string, State> states_;
+  std::map<std::string, RoleState> states_;
 };
 
 }  // namespace gentianlb::member
