--- a/src/power/shares.h
+++ b/src/power/shares.h
@@ -1,7 +1,7 @@
-// Divides the site's power cap among the dispatchers: each (service,
-// availability zone) has a share that is fixed by the configuration alone, and
-// the shares add up to at most the cap. No message is needed to keep under it,
-// so that a zone that is cut off, or a table that is out, cannot break the cap.
+// Divides the site's power cap among the dispatchers. The configuration alone
+// determines the share of each service in each availability zone, and the sum
+// of the shares is at most the cap. No message is needed to stay below it, so a
+// partitioned zone or an unavailable table can't cause more power draw.
 
 #ifndef GENTIANLB_POWER_SHARES_H_
 #define GENTIANLB_POWER_SHARES_H_
@@ -13,6 +13,7 @@
 
 namespace gentianlb::power {
 
+// The power share of the dispatcher of a service in a zone.
 struct Share {
   ServiceId service;
   ZoneId zone;
@@ -20,12 +21,14 @@
   auto operator<=>(const Share&) const = default;
 };
 
-// The draw of a server with all its streams running and a prompt computed.
+// Returns the draw in watts of a server that runs all its streams and prefills
+// prompts at full speed.
 double FullDraw(const schedule::ServerSpec& spec);
 
-// Sorted by service and zone. First every zone gets its floor, then the rest of
-// the cap goes to the zones by what their full draw exceeds the floor; inside a
-// zone each service gets the idle draw of its servers and a part of the rest.
+// Returns the shares, sorted by service and zone. Each zone gets its floor,
+// then the zones get the rest of the cap in proportion to their full draw above
+// the floor. Inside a zone each service gets the idle draw of its servers and a
+// share of the rest.
 std::vector<Share> DivideCap(const config::Configuration& configuration);
 
 }  // namespace gentianlb::power
--- a/src/power/shares_test.cc
+++ b/src/power/shares_test.cc
@@ -33,20 +33,23 @@
   BOOST_TEST(Sum(shares) <= 1000 + 1e-6);
 }
 
-// Whatever the operators configure, the shares that the zones hold without
-// talking to each other must not add up to more than the site's cap: a breaker
-// would trip and everything would stop.
+// The zones keep their shares without exchanging messages. For any
+// configuration the sum of the shares must not exceed the site's cap, or a
+// circuit breaker would trip and stop the whole site.
 BOOST_AUTO_TEST_CASE(SharesNeverAddUpToMoreThanTheCap) {
   std::mt19937 random(1);
-  auto upto = [&](int most) { return static_cast<double>(random() % most); };
+  auto random_below = [&](int limit) {
+    return static_cast<double>(random() % limit);
+  };
   for (int round = 0; round < 500; ++round) {
     config::Configuration c;
-    c.power_cap_watts = upto(5000);
+    c.power_cap_watts = random_below(5000);
     for (const char* zone : {"a", "b", "c"}) {
-      c.zones.push_back({ZoneId(zone), upto(2500)});
+      c.zones.push_back({ZoneId(zone), random_below(2500)});
       for (const char* service : {"llm", "portal"}) {
         if (random() % 3 != 0) {
-          c.servers.push_back(Server(service, zone, upto(200), upto(50)));
+          c.servers.push_back(
+              Server(service, zone, random_below(200), random_below(50)));
         }
       }
     }
