--- a/src/rpc/codec.cc
+++ b/src/rpc/codec.cc
@@ -13,33 +13,34 @@
 namespace rpc {
 namespace {
 
-// Keeps what the library's client would send, and gives it a stored answer.
-class StoredConnector : public jsonrpc::IClientConnector {
+// Records the message that the library's client sends and returns a given
+// response to it.
+class StubConnector : public jsonrpc::IClientConnector {
  public:
-  explicit StoredConnector(const std::string& answer) : answer_(answer) {}
+  explicit StubConnector(const std::string& response) : response_(response) {}
 
   void SendRPCMessage(const std::string& message,
                       std::string& result)  //
       throw(jsonrpc::JsonRpcException) override {
     message_ = message;
-    result = answer_;
+    result = response_;
   }
 
   const std::string& message() const { return message_; }
 
  private:
-  std::string answer_;
+  std::string response_;
   std::string message_;
 };
 
-// An answer that the library's client accepts, for when only the message that
-// it builds is wanted.
-const char kEmptyAnswer[] = "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":null}";
+// A response that the library's client accepts, for calls that only need the
+// message that it builds.
+const char kEmptyResponse[] = "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":null}";
 
 }  // namespace
 
 std::string EncodeCall(const std::string& method, const Json::Value& params) {
-  StoredConnector connector(kEmptyAnswer);
+  StubConnector connector(kEmptyResponse);
   jsonrpc::Client client(connector);
   Json::Value ignored;
   client.CallMethod(method, params, ignored);
@@ -48,20 +49,20 @@
 
 std::string EncodeNotification(const std::string& method,
                                const Json::Value& params) {
-  StoredConnector connector("");
+  StubConnector connector("");
   jsonrpc::Client client(connector);
   client.CallNotification(method, params);
   return connector.message();
 }
 
-RpcError DecodeResponse(const std::string& answer, Json::Value* result) {
-  StoredConnector connector(answer);
+RpcError DecodeResponse(const std::string& response, Json::Value* result) {
+  StubConnector connector(response);
   jsonrpc::Client client(connector);
   try {
     client.CallMethod("answer", Json::Value(Json::objectValue), *result);
   } catch (const jsonrpc::JsonRpcException& error) {
     int code = error.GetCode();
-    // The library's own codes are negative: the message itself was malformed.
+    // The library's own codes are negative and mean a malformed message.
     return RpcError{code <= 0 ? 7002 : code, error.GetMessage()};
   } catch (const std::exception& error) {
     return RpcError{7002, error.what()};
@@ -110,16 +111,16 @@
 }
 
 std::string MethodTable::Handle(const std::string& message) {
-  std::string answer;
-  impl_->protocol->HandleRequest(message, answer);
-  return answer;
+  std::string response;
+  impl_->protocol->HandleRequest(message, response);
+  return response;
 }
 
 void AsyncMethodTable::AddMethod(const std::string& name, Method method) {
   methods_[name] = std::move(method);
   table_.AddMethod(
       name, [this, name](const Json::Value& params, Json::Value* result) {
-        pass_.reached = true;
+        pass_.method_called = true;
         pass_.method = name;
         if (pass_.error == nullptr) {
           pass_.params = params;
@@ -130,23 +131,24 @@
       });
 }
 
-void AsyncMethodTable::Handle(const std::string& message,
-                              std::function<void(std::string answer)> answer) {
+void AsyncMethodTable::Handle(
+    const std::string& message,
+    std::function<void(std::string response)> response) {
   pass_ = Pass();
-  std::string refusal = table_.Handle(message);
-  if (!pass_.reached) {
-    answer(refusal);
+  std::string sync_response = table_.Handle(message);
+  if (!pass_.method_called) {
+    response(sync_response);
     return;
   }
   Json::Value params = pass_.params;
   methods_[pass_.method](
-      params, [this, message, answer](RpcError error, Json::Value result) {
+      params, [this, message, response](RpcError error, Json::Value result) {
         pass_ = Pass();
         pass_.error = &error;
         pass_.result = &result;
         std::string encoded = table_.Handle(message);
         pass_ = Pass();
-        answer(encoded);
+        response(encoded);
       });
 }
 
--- a/src/rpc/codec.h
+++ b/src/rpc/codec.h
@@ -1,7 +1,7 @@
-// JSON-RPC 2.0 messages by libjsonrpccpp, without its transports: the messages
-// travel over the HTTP packages, so that no thread waits for a peer. This
-// header is clean in C++14 and C++20; codec.cc is compiled as C++14, because
-// the library's headers do not compile as C++17.
+// Encodes and decodes JSON-RPC 2.0 messages with libjsonrpccpp, without its
+// transports: the HTTP packages send the messages, so that no thread waits for
+// a peer. This header compiles as C++14 and C++20; codec.cc is compiled as
+// C++14, because the library's headers do not compile as C++17.
 
 #ifndef GENTIANLB_RPC_CODEC_H_
 #define GENTIANLB_RPC_CODEC_H_
@@ -16,29 +16,29 @@
 namespace gentianlb {
 namespace rpc {
 
-// The message of a call of `method` that wants an answer.
+// Returns the message of a call of `method` that expects a response.
 std::string EncodeCall(const std::string& method, const Json::Value& params);
 
-// The message of a call without an answer.
+// Returns the message of a call without a response.
 std::string EncodeNotification(const std::string& method,
                                const Json::Value& params);
 
-// An error that the other side answered, or a malformed answer (code 7002).
+// An error from the peer, or a malformed response (code 7002).
 struct RpcError {
-  int code;  // Zero: no error.
+  int code;  // Zero if there is no error.
   std::string message;
 };
 
-// Reads the answer to a call made by EncodeCall().
-RpcError DecodeResponse(const std::string& answer, Json::Value* result);
+// Decodes the response to a call made by EncodeCall().
+RpcError DecodeResponse(const std::string& response, Json::Value* result);
 
-// Finds the method for each message and answers it. Not thread-safe: set up
-// first, then Handle() may be called from any number of threads as long as the
+// Calls the method that a message names and builds the response. Adding methods
+// is not thread-safe. Afterwards any number of threads may call Handle() if the
 // methods themselves allow it.
 class MethodTable {
  public:
-  // Sets *result; a returned error with a code other than zero is answered in
-  // its place.
+  // Sets *result. A returned error with a code other than zero is sent instead
+  // of it.
   using Method =
       std::function<RpcError(const Json::Value& params, Json::Value* result)>;
   using Notification = std::function<void(const Json::Value& params)>;
@@ -52,7 +52,8 @@
   void AddMethod(const std::string& name, Method method);
   void AddNotification(const std::string& name, Notification notification);
 
-  // Answers one message; the answer is empty for a notification.
+  // Handles one message and returns its response, which is empty for a
+  // notification.
   std::string Handle(const std::string& message);
 
  private:
@@ -60,8 +61,8 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// A MethodTable whose methods answer later. Not thread-safe: owned by one
-// thread, on which the methods must also answer.
+// A MethodTable whose methods may finish later. Not thread-safe: one thread
+// owns it, and the methods must call `done` on that thread.
 class AsyncMethodTable {
  public:
   using Done = std::function<void(RpcError error, Json::Value result)>;
@@ -70,15 +71,15 @@
   // Params are always a JSON object.
   void AddMethod(const std::string& name, Method method);
 
-  // Calls `answer` once, with the message to send back.
+  // Calls `response` once, with the message to send back.
   void Handle(const std::string& message,
-              std::function<void(std::string answer)> answer);
+              std::function<void(std::string response)> response);
 
  private:
-  // What the library's handler meets in a pass over a message: the first pass
-  // only takes the parameters out, the second one gives the result in.
+  // State of one pass of the library's handler over a message. The first pass
+  // only extracts the parameters; the second one supplies the result.
   struct Pass {
-    bool reached = false;
+    bool method_called = false;
     std::string method;
     Json::Value params;
     const RpcError* error = nullptr;
