--- a/src/member/messages.h
+++ b/src/member/messages.h
@@ -21,8 +21,7 @@
 // availability zone. If two hosts hold a role, the earlier `since` keeps it.
 struct HeldRole {
   std::string role;
-  std::int64_t since =
-      0;  // Microseconds since the epoch, by the clock of the holder.
+  std::int64_t since = 0;  // Microseconds since the epoch, holder's clock.
   auto operator<=>(const HeldRole&) const = default;
 };
 
--- a/src/orders/lease.cc
+++ b/src/orders/lease.cc
@@ -59,8 +59,8 @@
   corrupt_ = !row_.has_value();
   // A write whose answer was lost took effect.
   if (row_ && *row_ == sent_row_) return ApplyOwnWrite(row.version);
-  // An earlier write of this host was applied late. The host still holds the
-  // lease, and its expiry stays as it is.
+  // An earlier write of this host was applied late. The expiry of the lease
+  // stays as it is.
   if (row_ && IsOwnRow(*row_)) return;
   expires_at_ = absl::InfinitePast();
 }
--- a/src/orders/lease.h
+++ b/src/orders/lease.h
@@ -86,7 +86,7 @@
   EntryHostId self_;
   Incarnation incarnation_;
 
-  bool known_ = false;  // row_ is what the last read or write left.
+  bool known_ = false;  // row_ matches the last read or write.
   bool corrupt_ = false;
   std::optional<LeaseRow> row_;
   store::RowVersion row_version_ = 0;
--- a/src/orders/sequence.cc
+++ b/src/orders/sequence.cc
@@ -43,6 +43,8 @@
          Performs(view.state->role, incapable_role);
 }
 
+// Returns how many other servers of the same zone and service can serve the
+// model.
 int CountOtherServers(const config::ServerConfig& server,
                       const config::Configuration& configuration,
                       const Views& views, const ModelId& model,
@@ -61,6 +63,8 @@
   return count;
 }
 
+// Returns whether the configuration offers the model in the server's service
+// and zone.
 bool IsOfferedIn(const config::ModelConfig& model,
                  const config::ServerConfig& server) {
   if (model.service != server.service) return false;
@@ -120,8 +124,9 @@
   }
 };
 
-// Counts the open steps of servers that are configured and answer. A dead
-// server would block the whole site; the rules don't rely on it either.
+// Counts the open steps of servers that are configured and answer. The open
+// step of a dead server would block the whole site; no other step relies on its
+// models.
 OpenSteps CountOpenSteps(const config::Configuration& configuration,
                          const Views& views, const SequenceOptions& options) {
   OpenSteps open_steps;
--- a/src/orders/sequence.h
+++ b/src/orders/sequence.h
@@ -2,11 +2,12 @@
 // may start. The functions keep no state; the rows of the steps are in the
 // table.
 //
-// The rules prevent that a model which moves between servers is unloaded first,
-// or by two servers at once, so that callers are refused although the
-// configuration offers the model in their zone. Loads go first. An unload or
-// role change starts only when enough other servers of the zone had the model a
-// moment ago, and only one runs at a time, so that no two rely on each other.
+// Without rules, a model that moves between servers could be unloaded before it
+// is loaded, or by two servers at once, and callers would be refused although
+// the configuration offers the model in their zone. Loads go first. An unload
+// or role change starts only when enough other servers of the zone had the
+// model a moment ago, and only one runs at a time, so that no two rely on each
+// other.
 
 #ifndef GENTIANLB_ORDERS_SEQUENCE_H_
 #define GENTIANLB_ORDERS_SEQUENCE_H_
@@ -55,8 +56,8 @@
   bool operator==(const Step&) const = default;
 };
 
-// Returns whether the server runs a model engine; a plain service takes no
-// orders.
+// Returns whether the server runs a model engine; a plain service accepts
+// no orders.
 bool AcceptsOrders(const config::Configuration& configuration,
                    const config::ServerConfig& server);
 
