--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -242,7 +242,7 @@
 
 void Forwarder::NotifyDispatcher(const ServiceId& service,
                                  const schedule::Event& event) {
-  if (groups_ != nullptr && groups_->Tell(service, event)) return;
+  if (groups_ != nullptr && groups_->OnEvent(service, event)) return;
   NotifyLocalDispatcher(service, event);
 }
 
