--- a/src/gateway/host.cc
+++ b/src/gateway/host.cc
@@ -220,16 +220,15 @@
 bool Host::ready() const { return initialized() && !draining_; }
 
 std::string Host::BuildMetricsText() {
-  metrics_.Set("gentianlb_configuration_version",
-               "Version of the configuration in force", {},
+  metrics_.Set("gentianlb_configuration_version", "In force", {},
                static_cast<double>(forwarder_.version()));
-  metrics_.Set("gentianlb_open_requests", "Requests in progress", {},
+  metrics_.Set("gentianlb_open_requests", "Being served", {},
                static_cast<double>(forwarder_.open_requests()));
-  metrics_.Set("gentianlb_callers", "Open connections of callers", {},
+  metrics_.Set("gentianlb_callers", "Open connections", {},
                static_cast<double>(caller_server_->open_connections()));
   metrics_.Set("gentianlb_servers", "Registered backend servers", {},
                static_cast<double>(directory_.size()));
-  metrics_.Set("gentianlb_ready", "1 when the host is ready for callers", {},
+  metrics_.Set("gentianlb_ready", "1 when callers may come", {},
                ready() ? 1 : 0);
   for (const TableSubscriber* subscriber :
        {&configuration_subscription_, &server_subscription_}) {
@@ -237,14 +236,13 @@
     metrics_.Set("gentianlb_table_up", "1 while the table service answers",
                  table, subscriber->up() ? 1 : 0);
     metrics_.Set("gentianlb_table_follows",
-                 "1 while this host polls the table service itself", table,
+                 "1 while this host asks the service itself", table,
                  subscriber->subscribed() ? 1 : 0);
     metrics_.Set("gentianlb_table_behind_seconds",
-                 "Time since a change became known that this host lacks", table,
+                 "Since a change is known of that isn't here", table,
                  absl::ToDoubleSeconds(subscriber->Lag()));
   }
-  metrics_.Set("gentianlb_log_lines_left_out",
-               "Log lines dropped at the log's size limit", {},
+  metrics_.Set("gentianlb_log_lines_left_out", "For the log's bound", {},
                static_cast<double>(log_->dropped_lines()));
   return metrics_.Text();
 }
