--- a/src/schedule/prefix_cache_tracker.cc
+++ b/src/schedule/prefix_cache_tracker.cc
@@ -50,7 +50,7 @@
     if (found == level.holders->end() || found->server != server) continue;
     const Server& state = cache_->servers_[server];
     const double probability =
-        cache_->RetentionProbability(state, found->last_use, now);
+        cache_->CachedProbability(state, found->last_use, now);
     if (probability > 0) return level.tokens * probability;
   }
   return 0;
@@ -127,9 +127,9 @@
   state.cleared_at = state.inserted_tokens;
 }
 
-double PrefixCacheTracker::RetentionProbability(const Server& server,
-                                                double last_use,
-                                                absl::Time now) const {
+double PrefixCacheTracker::CachedProbability(const Server& server,
+                                             double last_use,
+                                             absl::Time now) const {
   if (server.capacity <= 0 || last_use < server.cleared_at) return 0;
   const double replaced = (server.inserted_tokens - last_use) / server.capacity;
   const double aged = absl::FDivDuration(now - server.aged_until, kMaxEntryAge);
@@ -191,7 +191,7 @@
                                      });
     if (holder == found->second.end()) continue;
     const double probability =
-        RetentionProbability(servers_[server], holder->last_use, now);
+        CachedProbability(servers_[server], holder->last_use, now);
     if (chances-- > 0 && probability > kMinProbabilityToKeep) {
       insertion_order_.emplace_back(hash, server);
     } else {
--- a/src/schedule/prefix_cache_tracker.h
+++ b/src/schedule/prefix_cache_tracker.h
@@ -108,8 +108,8 @@
 
   // Returns the estimated probability that a block last used at `last_use` is
   // still cached.
-  double RetentionProbability(const Server& server, double last_use,
-                              absl::Time now) const;
+  double CachedProbability(const Server& server, double last_use,
+                           absl::Time now) const;
   // Adds the time since the last call to the server's inserted tokens.
   void AddElapsedTime(Server* server, absl::Time now);
   // Adds an entry, or updates its last use.
